--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FleetTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FleetTest.java
@@ -41,9 +41,9 @@
                 FrontFixture two = new FrontFixture(List.of(one.ip()))) {
             BlockingQueue<String> heard = new LinkedBlockingQueue<>();
             two.run(() -> two.front().feed().listener((value, duringService, away) -> heard.add(value.key())));
-            one.run(() -> one.front().feed().copied(List.of(item("routes", 3)), 3));
+            one.run(() -> one.front().feed().applySnapshot(List.of(item("routes", 3)), 3));
             assertThat(heard.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), is("routes"));
-            one.run(() -> one.front().feed().watched(List.of(item("keys", 4)), 4));
+            one.run(() -> one.front().feed().applyWatchEvents(List.of(item("keys", 4)), 4));
             assertThat(heard.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), is("keys"));
         }
     }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemFeedTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemFeedTest.java
@@ -47,7 +47,7 @@
      */
     @Test
     void frontThatStopsWatchingAsksPeersAtOnce() {
-        feed.watched(List.of(), 41);
+        feed.applyWatchEvents(List.of(), 41);
         feed.tick();
         assertThat(peers.asked, is(empty()));
         hearFleet(41);
@@ -62,12 +62,12 @@
     @Test
     void peerThatKnowsNewerItemsIsAskedAtOnce() {
         hearFleet(41);
-        feed.watched(List.of(), 41);
+        feed.applyWatchEvents(List.of(), 41);
         feed.tick();
         peers.asked.clear();
-        feed.heard(report("front-07", 44, false));
+        feed.reportReceived(report("front-07", 44, false));
         assertThat(peers.asked, contains("10.0.0.7 0"));
-        feed.heard(report("front-08", 44, false));
+        feed.reportReceived(report("front-08", 44, false));
         assertThat(peers.asked, contains("10.0.0.7 0"));
         peers.answerLast(44);
         assertThat(feed.revision(), is(44L));
@@ -77,7 +77,7 @@
     @Test
     void peerThatDoesNotAnswerIsNotPreferred() {
         hearFleet(41);
-        feed.watched(List.of(), 41);
+        feed.applyWatchEvents(List.of(), 41);
         nowMillis = 1;
         for (int i = 0; i < 30; i++) {
             feed.tick();
@@ -90,7 +90,7 @@
     @Test
     void peerThatAnswersIsAskedAgain() {
         hearFleet(41);
-        feed.watched(List.of(), 41);
+        feed.applyWatchEvents(List.of(), 41);
         for (int i = 0; i < 30; i++) {
             feed.tick();
             peers.answerLast(41);
@@ -107,13 +107,13 @@
     void removalIsJudgedByTheReturnOfTheServiceAndNotByItsOwnTime() {
         List<Long> readableForMillis = new ArrayList<>();
         feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
-        feed.copied(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
+        feed.applySnapshot(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
         nowMillis = 10_000;
-        feed.sourceFailed("cut");
+        feed.serviceReadFailed("cut");
         nowMillis = 10_400;
-        feed.watched(List.of(), 41);
+        feed.applyWatchEvents(List.of(), 41);
         nowMillis = 11_900;
-        feed.watched(List.of(new PublishedValue("servers/e", null, 42)), 42);
+        feed.applyWatchEvents(List.of(new PublishedValue("servers/e", null, 42)), 42);
         assertThat(readableForMillis, contains(Long.MAX_VALUE, 1_500L));
     }
 
@@ -123,11 +123,11 @@
     @Test
     void removalWhileTheServiceIsAwayMayBeALapse() {
         List<Long> readableForMillis = new ArrayList<>();
-        feed.copied(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
+        feed.applySnapshot(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
         feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
         nowMillis = 10_000;
         hearFleet(42);
-        feed.sourceFailed("down");
+        feed.serviceReadFailed("down");
         feed.tick();
         peers.answerLast(42, "servers/e");
         assertThat(readableForMillis, contains(0L));
@@ -137,11 +137,11 @@
     @Test
     void removalThatAPeerInTouchTellsIsNoLapse() {
         List<Long> readableForMillis = new ArrayList<>();
-        feed.copied(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
+        feed.applySnapshot(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
         feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
         nowMillis = 10_000;
         hearFleet(42);
-        feed.sourceFailed("reset");
+        feed.serviceReadFailed("reset");
         feed.tick();
         peers.answerLast(removal(42, "servers/e").setReadableMillis(60_000));
         assertThat(readableForMillis, contains(Long.MAX_VALUE));
@@ -155,7 +155,7 @@
         feed.tick();
         peers.answerLast(40);
         feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
-        feed.watched(List.of(new PublishedValue("servers/e", new byte[0], 41)), 41);
+        feed.applyWatchEvents(List.of(new PublishedValue("servers/e", new byte[0], 41)), 41);
         nowMillis = 10_000;
         hearFleet(42);
         feed.tick();
@@ -177,8 +177,8 @@
     @Test
     void frontWhoseWatchFailedAsksPeersAtOnce() {
         hearWatchersBehind();
-        feed.watched(List.of(), 41);
-        feed.sourceFailed("reset");
+        feed.applyWatchEvents(List.of(), 41);
+        feed.serviceReadFailed("reset");
         feed.tick();
         assertThat(peers.asked.size(), is(1));
     }
@@ -187,9 +187,9 @@
     @Test
     void peerThatKnowsMoreIsAskedWhileTheOwnWatchHangs() {
         hearWatchersBehind();
-        feed.watched(List.of(), 41);
+        feed.applyWatchEvents(List.of(), 41);
         nowMillis = 50;
-        feed.heard(report("front-70", 44, true));
+        feed.reportReceived(report("front-70", 44, true));
         nowMillis = SHORTEST_BOUND_MILLIS / 2;
         feed.tick();
         assertThat(peers.asked, contains("10.0.0.70 0"));
@@ -199,12 +199,12 @@
     @Test
     void watchThatIsAMomentBehindIsWaitedFor() {
         hearWatchersBehind();
-        feed.watched(List.of(), 41);
+        feed.applyWatchEvents(List.of(), 41);
         nowMillis = 50;
-        feed.heard(report("front-70", 44, true));
+        feed.reportReceived(report("front-70", 44, true));
         nowMillis = 300;
         feed.tick();
-        feed.watched(List.of(), 44);
+        feed.applyWatchEvents(List.of(), 44);
         nowMillis = SHORTEST_BOUND_MILLIS;
         feed.tick();
         assertThat(peers.asked, is(empty()));
@@ -214,7 +214,7 @@
     @Test
     void peerThatKnowsNothingNewerForLongIsNotPreferred() {
         hearFleet(41);
-        feed.watched(List.of(), 41);
+        feed.applyWatchEvents(List.of(), 41);
         for (int i = 0; i < 3; i++) {
             feed.tick();
             peers.answerLast(41, STALE_MILLIS);
@@ -226,7 +226,7 @@
     @Test
     void peerThatWatchesIsPreferredByItsOwnWord() {
         hearFleet(41);
-        feed.watched(List.of(), 41);
+        feed.applyWatchEvents(List.of(), 41);
         for (int i = 0; i < 3; i++) {
             feed.tick();
             peers.answerLast(ItemsAnswer.newBuilder().setRevision(41).setWatching(i == 2));
@@ -262,7 +262,7 @@
         hearFleetAgain();
         feed.tick();
         assertThat(feed.shouldWatch(), is(true));
-        feed.watched(List.of(), 42);
+        feed.applyWatchEvents(List.of(), 42);
         nowMillis = 22_000;
         hearFleetAgain();
         assertThat(feed.shouldWatch(), is(true));
@@ -324,18 +324,18 @@
                 .build();
     }
 
-    private static final class Peers implements PeerSource {
+    private static final class Peers implements PeerItemSource {
         private final List<String> asked = new ArrayList<>();
         private Consumer<Optional<ItemsAnswer>> last;
 
         @Override
-        public void ask(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
+        public void requestChanges(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
             asked.add(ip + " " + waitMillis);
             last = taker;
         }
 
         @Override
-        public void changed() {}
+        public void itemsChanged() {}
 
         /** Answers that an item was removed. */
         void answerLast(long revision, String removedKey) {
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemSpreadTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemSpreadTest.java
@@ -171,7 +171,7 @@
     }
 
     /** One front: its part of the news, its watch and its questions, as the processes have them. */
-    private final class ModelFront implements PeerSource {
+    private final class ModelFront implements PeerItemSource {
         private static final long ROUND_MILLIS = 300;
         private static final long SWEEP_MILLIS = 250;
         private static final long WATCH_MILLIS = 2_000;
@@ -230,7 +230,7 @@
                     .setIncarnation(1)
                     .setPhase(MemberPhase.MEMBER_SERVING)
                     .setRevision(mirror.revision())
-                    .setWatching(feed != null && feed.watchWorks())
+                    .setWatching(feed != null && feed.watchHealthy())
                     .build();
         }
 
@@ -264,7 +264,7 @@
 
         private void hear(MemberReport report, List<Beat> beats) {
             if (members.hear(report, nowMillis)) {
-                feed.heard(report);
+                feed.reportReceived(report);
             }
             beats.forEach(beat -> members.hear(beat, nowMillis));
         }
@@ -279,7 +279,7 @@
         }
 
         private void copy() {
-            feed.copied(published, newestRevision());
+            feed.applySnapshot(published, newestRevision());
             watch();
         }
 
@@ -327,12 +327,12 @@
         }
 
         private void watchAnswered() {
-            feed.watched(published, newestRevision());
+            feed.applyWatchEvents(published, newestRevision());
             at(nowMillis + COLLECT_MILLIS, this::watch);
         }
 
         private void watchFailed() {
-            feed.sourceFailed("cut");
+            feed.serviceReadFailed("cut");
             at(nowMillis + PAUSE_MILLIS, this::watch);
         }
 
@@ -344,7 +344,7 @@
         }
 
         @Override
-        public void ask(String peerIp, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
+        public void requestChanges(String peerIp, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
             boolean[] ended = new boolean[1];
             Consumer<Optional<ItemsAnswer>> once = answer -> {
                 if (!ended[0]) {
@@ -382,7 +382,7 @@
                     .setRevision(mirror.revision())
                     .setComplete(changes.isEmpty())
                     .setAgeMillis((int) feed.ageMillis())
-                    .setWatching(feed.watchWorks());
+                    .setWatching(feed.watchHealthy());
             for (PublishedValue value : changes.isPresent() ? changes.get() : mirror.all()) {
                 answer.addItems(PublishedItem.newBuilder().setKey(value.key()).setRevision(value.revision()));
             }
@@ -390,7 +390,7 @@
         }
 
         @Override
-        public void changed() {
+        public void itemsChanged() {
             List<Runnable> all = List.copyOf(waiting);
             waiting.clear();
             all.forEach(Runnable::run);
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/LargeItemsTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/LargeItemsTest.java
@@ -166,7 +166,7 @@
         }
     }
 
-    private static final class KnownSince implements Freshness {
+    private static final class KnownSince implements ItemFreshness {
         @Override
         public long ageMillis() {
             return SERVED_AGE_MILLIS;
@@ -178,7 +178,7 @@
         }
 
         @Override
-        public boolean watchWorks() {
+        public boolean watchHealthy() {
             return true;
         }
     }
@@ -194,7 +194,7 @@
 
         CompletableFuture<Optional<ItemsAnswer>> ask(SlowLink link, long waitMillis) {
             CompletableFuture<Optional<ItemsAnswer>> answer = new CompletableFuture<>();
-            askerLoop.execute(() -> items.ask(IP, link.port(), waitMillis, answer::complete));
+            askerLoop.execute(() -> items.requestChanges(IP, link.port(), waitMillis, answer::complete));
             return answer;
         }
     }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/PeerItemsTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/PeerItemsTest.java
@@ -75,7 +75,7 @@
 
         Optional<ItemsAnswer> ask() throws Exception {
             CompletableFuture<Optional<ItemsAnswer>> answer = new CompletableFuture<>();
-            loop.execute(() -> items.ask(IP, server.getLocalPort(), 0, answer::complete));
+            loop.execute(() -> items.requestChanges(IP, server.getLocalPort(), 0, answer::complete));
             return answer.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
         }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Knowledge.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CatalogFreshness.java
@@ -6,4 +6,4 @@
  * @param catalogVersion version of the catalog in force; 0 when none is known
  * @param itemsAgeMillis how long ago the published items were known to be the newest
  */
-record Knowledge(long catalogVersion, long itemsAgeMillis) {}
+record CatalogFreshness(long catalogVersion, long itemsAgeMillis) {}
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
@@ -102,7 +102,7 @@
         this.covered = covered;
         coordinator = coordinators.apply(new Replies());
         nextId = members.own().getIncarnation() << 20;
-        datagrams.listen(this::received);
+        datagrams.addListener(this::received);
     }
 
     /** Tells whether requests to a service are placed by a coordinator. */
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Exchange.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Exchange.java
@@ -49,7 +49,7 @@
     private final HttpRequest request;
     private final ByteBuf body;
     private final long arrivedAtMillis;
-    private final Knowledge knowledge;
+    private final CatalogFreshness knowledge;
 
     private final Set<String> tried = new HashSet<>();
     private RequestHead head;
@@ -589,7 +589,7 @@
     }
 
     /** Returns what was known when the request arrived. */
-    Knowledge knowledge() {
+    CatalogFreshness knowledge() {
         return knowledge;
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FleetNews.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FleetStateExchange.java
@@ -10,7 +10,7 @@
 import org.whinwharf.wire.fleet.MemberReport;
 
 /** Puts what this process does into its reports, and what others do into its targets and quotas. */
-final class FleetNews {
+final class FleetStateExchange {
     private final FrontSettings settings;
     private final MemberTable members;
     private final Targets targets;
@@ -20,7 +20,7 @@
     private boolean usesChanged;
     private long countedAtMillis;
 
-    FleetNews(
+    FleetStateExchange(
             FrontSettings settings,
             MemberTable members,
             Targets targets,
@@ -40,7 +40,7 @@
      *
      * @param phase what the process does
      */
-    void report(MemberPhase phase) {
+    void updateLocalReport(MemberPhase phase) {
         MemberReport.Builder report = MemberReport.newBuilder()
                 .setName(settings.name())
                 .setIp(settings.ip())
@@ -48,7 +48,7 @@
                 .setDataCentre(settings.dataCentre())
                 .setPhase(phase)
                 .setRevision(feed.revision())
-                .setWatching(feed.watchWorks())
+                .setWatching(feed.watchHealthy())
                 .setProcessorPercent(settings.processorPercent());
         for (TargetEntry entry : targets.all()) {
             // In a large fleet this news is too old to place requests by; a coordinator has the counts there.
@@ -66,9 +66,9 @@
     }
 
     /** Takes what another process admitted and has under way. */
-    void heard(MemberReport report) {
+    void applyReport(MemberReport report) {
         usesChanged = true;
-        feed.heard(report);
+        feed.reportReceived(report);
         report.getQuotasList()
                 .forEach(use -> quotas.heard(
                         report.getName(),
@@ -79,7 +79,7 @@
     }
 
     /** Sums up the requests of all others at each target. */
-    void countOthers(long nowMillis) {
+    void updateRemoteLoads(long nowMillis) {
         long pauseMillis = usesChanged && !members.large() ? 0 : MemberTable.SILENT_MILLIS;
         if (nowMillis - countedAtMillis < pauseMillis) {
             return;
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
@@ -88,7 +88,7 @@
     private final Set<Exchange> exchanges = new LinkedHashSet<>();
     private final FrontMetrics metrics = new FrontMetrics();
     private final CallerServer callers;
-    private final FleetNews news;
+    private final FleetStateExchange news;
     private final PeerDatagrams datagrams;
     private final Gossip gossip;
     private final Coordination coordination;
@@ -129,11 +129,12 @@
         ItemMirror mirror = new ItemMirror();
         peerItems = new PeerItems(loop, mirror, metrics);
         feed = new ItemFeed(settings, members, mirror, peerItems, ticker, random);
-        news = new FleetNews(settings, members, targets, quotas, feed, ticker);
+        news = new FleetStateExchange(settings, members, targets, quotas, feed, ticker);
         datagrams = new PeerDatagrams(settings);
         coordination =
                 new Coordination(settings, members, targets, datagrams, ticker, this::coordinator, this::coordinated);
-        gossip = new Gossip(settings, members, ticker, random, datagrams, news::heard, coordination::coordinatorIps);
+        gossip = new Gossip(
+                settings, members, ticker, random, datagrams, news::applyReport, coordination::coordinatorIps);
         callers = new CallerServer(this, loop, callerPort);
     }
 
@@ -201,7 +202,7 @@
                 "Version in force",
                 () -> catalog.map(Catalog::version).orElse(0L));
         metrics.gauge("whinwharf.items.revision", "Revision of the published items", feed::revision);
-        metrics.gauge("whinwharf.watching", "1 while the own watch works", () -> feed.watchWorks() ? 1 : 0);
+        metrics.gauge("whinwharf.watching", "1 while the own watch works", () -> feed.watchHealthy() ? 1 : 0);
         metrics.gauge("whinwharf.targets.ejected", "Targets out of use after failures", targets::ejected);
         new HttpEndpoint(loop, (method, uri) -> new HttpEndpoint.Answer(200, "text/plain", metrics.scrape()))
                 .bind(settings.ip(), settings.metricsPort())
@@ -365,18 +366,18 @@
     }
 
     private void gossipRound() {
-        news.report(phase);
-        gossip.round();
+        news.updateLocalReport(phase);
+        gossip.runRound();
     }
 
     private void phaseChanged() {
-        news.report(phase);
-        gossip.urgentRound();
+        news.updateLocalReport(phase);
+        gossip.runRoundNow();
     }
 
     private void tick() {
         long nowMillis = ticker.nowMillis();
-        news.countOthers(nowMillis);
+        news.updateRemoteLoads(nowMillis);
         coordination.tick();
         List.copyOf(exchanges).forEach(exchange -> exchange.tick(nowMillis));
         lines.advance(nowMillis);
@@ -472,8 +473,8 @@
         return catalog;
     }
 
-    Knowledge knowledge() {
-        return new Knowledge(catalog.map(Catalog::version).orElse(0L), feed.ageMillis());
+    CatalogFreshness knowledge() {
+        return new CatalogFreshness(catalog.map(Catalog::version).orElse(0L), feed.ageMillis());
     }
 
     CallerLimits limits() {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
@@ -116,7 +116,7 @@
     }
 
     static void itemsQuestionFailed(
-            String peerIp, long heldRevision, QuestionOutcome outcome, long receivedBytes, long tookMillis) {
+            String peerIp, long heldRevision, ItemsRequestOutcome outcome, long receivedBytes, long tookMillis) {
         EventLog.event(LogEvent.ITEMS_QUESTION_FAILED)
                 .with(EventField.PEER, peerIp)
                 .with(EventField.REVISION, heldRevision)
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontMetrics.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontMetrics.java
@@ -21,7 +21,7 @@
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final Map<ErrorKind, Counter> failures = new EnumMap<>(ErrorKind.class);
     private final Map<CutCause, Counter> cuts = new EnumMap<>(CutCause.class);
-    private final Map<QuestionOutcome, Counter> questions = new EnumMap<>(QuestionOutcome.class);
+    private final Map<ItemsRequestOutcome, Counter> questions = new EnumMap<>(ItemsRequestOutcome.class);
     private final Map<RouteKind, Timer> firstBytes = new EnumMap<>(RouteKind.class);
     private final Map<RouteKind, Timer> waits = new EnumMap<>(RouteKind.class);
     private final Counter answered = Counter.builder("whinwharf.answers")
@@ -80,7 +80,7 @@
     }
 
     /** Counts a question for published items to a peer. */
-    void itemsAsked(QuestionOutcome outcome) {
+    void itemsAsked(ItemsRequestOutcome outcome) {
         questions
                 .computeIfAbsent(
                         outcome,
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Gossip.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Gossip.java
@@ -37,7 +37,7 @@
     /** Takes what was heard. */
     interface Listener {
         /** Takes a report that is news. */
-        void heard(MemberReport report);
+        void reportReceived(MemberReport report);
     }
 
     private final FrontSettings settings;
@@ -48,7 +48,7 @@
     private final Listener listener;
     private final Supplier<Collection<String>> coordinatorIps;
     private boolean heardOfStrangers;
-    private int round;
+    private int roundCount;
 
     Gossip(
             FrontSettings settings,
@@ -65,14 +65,14 @@
         this.datagrams = datagrams;
         this.listener = listener;
         this.coordinatorIps = coordinatorIps;
-        datagrams.listen(this::received);
+        datagrams.addListener(this::received);
     }
 
     /** Tells peers the own state, and what was heard last as far as room allows. */
-    void round() {
-        round++;
+    void runRound() {
+        roundCount++;
         if (members.large()) {
-            if (round % LARGE_FLEET_ROUNDS == 0) {
+            if (roundCount % LARGE_FLEET_ROUNDS == 0) {
                 largeRound();
             }
         } else {
@@ -81,9 +81,9 @@
     }
 
     /** Tells peers at once, since a change of the own phase cannot wait for the next round. */
-    void urgentRound() {
-        round = -1;
-        round();
+    void runRoundNow() {
+        roundCount = -1;
+        runRound();
     }
 
     private void smallRound() {
@@ -157,7 +157,7 @@
         long nowMillis = ticker.nowMillis();
         for (MemberReport report : datagram.getMembersList()) {
             if (members.hear(report, nowMillis)) {
-                listener.heard(report);
+                listener.reportReceived(report);
             }
         }
         for (int i = 0; i < datagram.getBeatMembersCount(); i++) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFeed.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFeed.java
@@ -28,7 +28,7 @@
  * them instead, and goes back to its own watch when that works again. In a large fleet only a few processes of each
  * data centre watch at all, since the service's reads grow more slowly than the fleet; the others ask those.
  */
-public final class ItemFeed implements Freshness {
+public final class ItemFeed implements ItemFreshness {
     /** Silence of the own watch after which peers are asked; a watch answers at least this often. */
     private static final long WATCH_SILENT_MILLIS = 2_900;
     /**
@@ -60,13 +60,13 @@
          * @param readableForMillis time for which the service has been readable again, 0 while it is not;
          *     {@link Long#MAX_VALUE} when it always was, or that is long ago
          */
-        void changed(PublishedValue value, boolean duringService, long readableForMillis);
+        void itemChanged(PublishedValue value, boolean duringService, long readableForMillis);
     }
 
     private final FrontSettings settings;
     private final MemberTable members;
     private final ItemMirror mirror;
-    private final PeerSource peers;
+    private final PeerItemSource peers;
     private final Ticker ticker;
     private final Random random;
     private final ServiceView service = new ServiceView();
@@ -92,7 +92,7 @@
             FrontSettings settings,
             MemberTable members,
             ItemMirror mirror,
-            PeerSource peers,
+            PeerItemSource peers,
             Ticker ticker,
             Random random) {
         this.settings = settings;
@@ -172,7 +172,7 @@
      * @param all all items
      * @param revision revision up to which they are complete
      */
-    public void copied(Collection<PublishedValue> all, long revision) {
+    public void applySnapshot(Collection<PublishedValue> all, long revision) {
         boolean duringService = mirror.revision() > 0;
         watchWorked();
         pass(mirror.replace(all, revision), duringService);
@@ -184,7 +184,7 @@
      * @param events changes, in order
      * @param revision revision up to which they are complete
      */
-    public void watched(Collection<PublishedValue> events, long revision) {
+    public void applyWatchEvents(Collection<PublishedValue> events, long revision) {
         watchWorked();
         pass(mirror.apply(events, revision), true);
     }
@@ -194,7 +194,7 @@
      *
      * @param reason what was seen
      */
-    public void sourceFailed(String reason) {
+    public void serviceReadFailed(String reason) {
         if (service.failed(ticker.nowMillis())) {
             logSource("service", "peers", reason);
         }
@@ -205,7 +205,7 @@
      * has just heard from the service, and hears nothing more.
      */
     @Override
-    public boolean watchWorks() {
+    public boolean watchHealthy() {
         return service.reading() && ticker.nowMillis() - watchWorkedAtMillis <= WATCH_SILENT_MILLIS && shouldWatch();
     }
 
@@ -213,7 +213,7 @@
      * Takes a peer's report. The peer that this process waits for may itself be cut off from the service and know no
      * better; one that says that it knows newer items is asked for them.
      */
-    void heard(MemberReport report) {
+    void reportReceived(MemberReport report) {
         watchingByIp.remove(report.getIp());
         if (report.getRevision() <= mirror.revision()) {
             return;
@@ -232,12 +232,12 @@
             return;
         }
         long behindMillis = ticker.nowMillis() - behindSinceMillis;
-        if (behindMillis < WATCH_BEHIND_MILLIS && watchWorks()) {
+        if (behindMillis < WATCH_BEHIND_MILLIS && watchHealthy()) {
             return;
         }
         catchingUp = true;
         String askedIp = aheadIp;
-        peers.ask(askedIp, settings.peerPort(), 0, answer -> {
+        peers.requestChanges(askedIp, settings.peerPort(), 0, answer -> {
             catchingUp = false;
             answer.ifPresent(this::takePeerAnswer);
             if (answer.isEmpty() && askedIp.equals(aheadIp)) {
@@ -251,7 +251,7 @@
     void tick() {
         takeOverWhenNobodyWatches();
         catchUp();
-        if (asking || watchWorks()) {
+        if (asking || watchHealthy()) {
             return;
         }
         Optional<Member> peer = bestPeer();
@@ -261,7 +261,7 @@
         asking = true;
         lastPeerIp = peer.get().report().getIp();
         String askedIp = lastPeerIp;
-        peers.ask(askedIp, settings.peerPort(), PEER_WAIT_MILLIS, answer -> {
+        peers.requestChanges(askedIp, settings.peerPort(), PEER_WAIT_MILLIS, answer -> {
             asking = false;
             answer.ifPresentOrElse(this::takePeerAnswer, () -> lastPeerIp = "");
             answer.ifPresent(taken -> judge(askedIp, taken));
@@ -322,7 +322,7 @@
 
     @Override
     public long readableForMillis() {
-        return service.readableForMillis(ticker.nowMillis(), watchWorks());
+        return service.readableForMillis(ticker.nowMillis(), watchHealthy());
     }
 
     private void logSource(String from, String to, String reason) {
@@ -336,9 +336,9 @@
 
     private void pass(List<PublishedValue> changed, boolean duringService) {
         long readableForMillis = readableForMillis();
-        changed.forEach(value -> listener.changed(value, duringService, readableForMillis));
+        changed.forEach(value -> listener.itemChanged(value, duringService, readableForMillis));
         if (!changed.isEmpty()) {
-            peers.changed();
+            peers.itemsChanged();
         }
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Freshness.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFreshness.java
@@ -1,7 +1,7 @@
 package org.whinwharf.front;
 
 /** How fresh the published items of this process are, by its own watch or by what peers said of theirs. */
-interface Freshness {
+interface ItemFreshness {
     /**
      * Returns how long ago the items were known to be the newest.
      *
@@ -21,5 +21,5 @@
      *
      * @return true when it does
      */
-    boolean watchWorks();
+    boolean watchHealthy();
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/QuestionOutcome.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemsRequestOutcome.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** How a question for published items to a peer ended. */
-enum QuestionOutcome {
+enum ItemsRequestOutcome {
     /** The whole answer came. */
     ANSWERED,
     /** No connection could be made. */
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerDatagrams.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerDatagrams.java
@@ -23,7 +23,7 @@
     /** Takes datagrams. */
     interface Listener {
         /** Takes one datagram that came from the given address. */
-        void received(FleetDatagram datagram, String fromIp);
+        void datagramReceived(FleetDatagram datagram, String fromIp);
     }
 
     private final FrontSettings settings;
@@ -35,7 +35,7 @@
         this.settings = settings;
     }
 
-    void listen(Listener listener) {
+    void addListener(Listener listener) {
         listeners.add(listener);
     }
 
@@ -84,7 +84,7 @@
                 throws InvalidProtocolBufferException {
             FleetDatagram datagram = FleetDatagram.parseFrom(packet.content().nioBuffer());
             String fromIp = packet.sender().getAddress().getHostAddress();
-            listeners.forEach(listener -> listener.received(datagram, fromIp));
+            listeners.forEach(listener -> listener.datagramReceived(datagram, fromIp));
         }
 
         @Override
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerSource.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItemSource.java
@@ -5,7 +5,7 @@
 import org.whinwharf.wire.fleet.ItemsAnswer;
 
 /** Peers, as a source of published items. */
-interface PeerSource {
+interface PeerItemSource {
     /**
      * Asks a peer for what changed.
      *
@@ -14,8 +14,8 @@
      * @param waitMillis time that it may wait for a change; 0 for an answer at once
      * @param taker gets the answer; empty when the peer does not answer
      */
-    void ask(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker);
+    void requestChanges(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker);
 
     /** Tells that items changed here, for peers that wait. */
-    void changed();
+    void itemsChanged();
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItems.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItems.java
@@ -32,7 +32,7 @@
 import org.whinwharf.wire.fleet.PublishedItem;
 
 /** Hands the published items from process to process, for those that cannot read the publishing service. */
-final class PeerItems implements PeerSource {
+final class PeerItems implements PeerItemSource {
     /** Most bytes of a message: a catalog at its largest and all targets. */
     private static final int MOST_BYTES = 8 * 1_024 * 1_024;
     /** Length of the frame header. */
@@ -49,7 +49,7 @@
     private final ItemMirror mirror;
     private final FrontMetrics metrics;
     private final List<Waiting> waiting = new ArrayList<>();
-    private Freshness freshness;
+    private ItemFreshness freshness;
     private Channel server;
     private Packed lastPacked = NOTHING_PACKED;
     /** The connection over which a peer answered last; null for none. */
@@ -69,7 +69,7 @@
     private static final Packed NOTHING_PACKED = new Packed(-1, -1, ItemsAnswer.getDefaultInstance());
 
     /** Begins to answer peers, with how fresh the items are. */
-    void start(String ip, int port, Freshness itemsFreshness) {
+    void start(String ip, int port, ItemFreshness itemsFreshness) {
         freshness = itemsFreshness;
         server = new ServerBootstrap()
                 .group(loop)
@@ -89,7 +89,7 @@
 
     /** Answers the peers that wait for a change. */
     @Override
-    public void changed() {
+    public void itemsChanged() {
         lastPacked = NOTHING_PACKED;
         List<Waiting> all = List.copyOf(waiting);
         waiting.clear();
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public void ask(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
+    public void requestChanges(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
         ItemsRequest question = ItemsRequest.newBuilder()
                 .setAfterRevision(mirror.revision())
                 .setWaitMillis(waitMillis)
@@ -122,16 +122,17 @@
                         asker.ask(question, taker);
                     } else {
                         long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - connectingAtNanos);
-                        ended(QuestionOutcome.UNREACHABLE, ip, question, 0, tookMillis);
+                        ended(ItemsRequestOutcome.UNREACHABLE, ip, question, 0, tookMillis);
                         taker.accept(Optional.empty());
                     }
                 });
     }
 
-    private void ended(QuestionOutcome outcome, String ip, ItemsRequest question, long receivedBytes, long tookMillis) {
+    private void ended(
+            ItemsRequestOutcome outcome, String ip, ItemsRequest question, long receivedBytes, long tookMillis) {
         metrics.itemsAsked(outcome);
         metrics.itemsReceived(receivedBytes);
-        if (outcome != QuestionOutcome.ANSWERED) {
+        if (outcome != ItemsRequestOutcome.ANSWERED) {
             FrontLog.itemsQuestionFailed(ip, question.getAfterRevision(), outcome, receivedBytes, tookMillis);
         }
     }
@@ -161,7 +162,7 @@
                 answer.toBuilder()
                         .setAgeMillis(bounded(freshness.ageMillis()))
                         .setReadableMillis(bounded(freshness.readableForMillis()))
-                        .setWatching(freshness.watchWorks())
+                        .setWatching(freshness.watchHealthy())
                         .build());
     }
 
@@ -270,11 +271,11 @@
         }
 
         private void late() {
-            finish(QuestionOutcome.TIMED_OUT, Optional.empty());
+            finish(ItemsRequestOutcome.TIMED_OUT, Optional.empty());
             channel.close();
         }
 
-        private void finish(QuestionOutcome outcome, Optional<ItemsAnswer> answer) {
+        private void finish(ItemsRequestOutcome outcome, Optional<ItemsAnswer> answer) {
             if (taker != null) {
                 Consumer<Optional<ItemsAnswer>> once = taker;
                 taker = null;
@@ -288,7 +289,7 @@
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) throws Exception {
             ItemsAnswer answer = AnswerCodec.unpack(ItemsAnswer.parseFrom(frame.nioBuffer()), MOST_BYTES);
             keep(this);
-            finish(QuestionOutcome.ANSWERED, Optional.of(answer));
+            finish(ItemsRequestOutcome.ANSWERED, Optional.of(answer));
         }
 
         @Override
@@ -296,7 +297,7 @@
             if (idle == this) {
                 idle = null;
             }
-            finish(QuestionOutcome.CLOSED, Optional.empty());
+            finish(ItemsRequestOutcome.CLOSED, Optional.empty());
         }
 
         @Override
