--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/TestDialect.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/TestDialect.java
@@ -35,11 +35,11 @@
     }
 
     @Override
-    public HttpRequest targetRequest(HttpRequest request, Dispatch dispatch) {
+    public HttpRequest targetRequest(HttpRequest request, DispatchParameters dispatch) {
         HttpHeaders headers =
                 new DefaultHttpHeaders().set("Attempt", request.headers().get("Attempt"));
         headers.set("Expect-Target", dispatch.targetId());
-        dispatch.resumeAfterEvent().ifPresent(id -> headers.set("Resume-After", id));
+        dispatch.lastEventId().ifPresent(id -> headers.set("Resume-After", id));
         if (request.method().equals(HttpMethod.POST)) {
             headers.set("Content-Length", 0);
         }
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public AnswerHead readAnswer(HttpResponse response) {
+    public ResponseHead readResponse(HttpResponse response) {
         return ImmutableAnswerHead.builder()
                 .status(response.status().code())
                 .attemptId(response.headers().get("Attempt", ""))
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Admission.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/AdmissionControl.java
@@ -10,7 +10,7 @@
 import org.whinwharf.traffic.waiting.Patience;
 
 /** Decides on arrival whether a request is let in, by routes, keys and quotas. */
-final class Admission {
+final class AdmissionControl {
     /** Outcome of a decision. */
     sealed interface Result permits Admitted, Refused {}
 
@@ -43,11 +43,11 @@
      * @param refusal what its caller is told
      * @param organisation who sent it, if known
      */
-    record Refused(Refusal refusal, Optional<Organisation> organisation) implements Result {}
+    record Refused(ErrorResponse refusal, Optional<Organisation> organisation) implements Result {}
 
     private final Front front;
 
-    Admission(Front front) {
+    AdmissionControl(Front front) {
         this.front = front;
     }
 
@@ -61,14 +61,15 @@
             return refused(ErrorKind.UNKNOWN_SERVICE, 0, Optional.empty());
         }
         Route route = found.get();
-        Optional<Organisation> organisation = head.key().flatMap(catalog.get()::organisationOfKey);
+        Optional<Organisation> organisation = head.apiKey().flatMap(catalog.get()::organisationOfKey);
         if (catalog.get().asksForKeys() && !route.publicAccess() && organisation.isEmpty()) {
             return refused(ErrorKind.UNKNOWN_CREDENTIAL, 0, organisation);
         }
         long tokens = tokens(head, organisation);
         String service = route.serviceOf(head.attemptId());
         boolean elsewhere = organisation.isPresent() && front.coordination().asksElsewhere(service);
-        Optional<Refusal> refusal = elsewhere ? Optional.empty() : takeQuota(organisation, service, tokens, nowMillis);
+        Optional<ErrorResponse> refusal =
+                elsewhere ? Optional.empty() : takeQuota(organisation, service, tokens, nowMillis);
         if (refusal.isPresent()) {
             return new Refused(refusal.get(), organisation);
         }
@@ -76,13 +77,14 @@
     }
 
     /** Takes a request's use from its organisation's quota, or returns why that cannot be. */
-    Optional<Refusal> takeQuota(Optional<Organisation> organisation, String service, long tokens, long nowMillis) {
+    Optional<ErrorResponse> takeQuota(
+            Optional<Organisation> organisation, String service, long tokens, long nowMillis) {
         if (organisation.isEmpty() || admit(organisation.get().name(), service, tokens, nowMillis)) {
             return Optional.empty();
         }
         long comeBackMillis = front.quotas().comeBackMillis(organisation.get().name());
         return Optional.of(
-                new Refusal(ErrorKind.OVER_QUOTA, Math.max(comeBackMillis, Front.NOT_READY_COME_BACK_MILLIS)));
+                new ErrorResponse(ErrorKind.OVER_QUOTA, Math.max(comeBackMillis, Front.NOT_READY_COME_BACK_MILLIS)));
     }
 
     private boolean admit(String organisation, String service, long tokens, long nowMillis) {
@@ -100,7 +102,7 @@
             boolean quotaTaken,
             long nowMillis) {
         long allowedMillis =
-                Math.min(route.timeoutMillis(), head.deadlineMillis().orElse(route.timeoutMillis()));
+                Math.min(route.timeoutMillis(), head.timeoutMillis().orElse(route.timeoutMillis()));
         OptionalInt organisationRank = organisation.map(Organisation::tierRank).orElse(OptionalInt.empty());
         int tierRank = TierRank.of(organisationRank, route.tierRank());
         return new Admitted(
@@ -115,13 +117,13 @@
     }
 
     private static long tokens(RequestHead head, Optional<Organisation> organisation) {
-        if (head.countsTokens()) {
+        if (head.hasTokenCounts()) {
             return head.promptTokens() + head.answerTokens();
         }
         return organisation.map(Organisation::plainRequestTokens).orElse(0L);
     }
 
     private static Refused refused(ErrorKind kind, long comeBackMillis, Optional<Organisation> organisation) {
-        return new Refused(new Refusal(kind, comeBackMillis), organisation);
+        return new Refused(new ErrorResponse(kind, comeBackMillis), organisation);
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerServer.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerAcceptor.java
@@ -18,7 +18,7 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 
 /** Accepts the connections of callers. */
-final class CallerServer {
+final class CallerAcceptor {
     /** Answer bytes queued for a slow caller before its target is read no further. */
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 * 1_024, 128 * 1_024);
 
@@ -27,7 +27,7 @@
     private final CallerPort port;
     private Channel server;
 
-    CallerServer(Front front, EventLoopGroup loop, CallerPort port) {
+    CallerAcceptor(Front front, EventLoopGroup loop, CallerPort port) {
         this.front = front;
         this.loop = loop;
         this.port = port;
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerConnection.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerConnection.java
@@ -51,7 +51,7 @@
     private Channel channel;
     private HttpRequest request;
     private CompositeByteBuf body;
-    private Exchange exchange;
+    private CallerExchange exchange;
     private boolean closing;
     private boolean closeAfterAnswer;
     private long quietSinceMillis;
@@ -165,16 +165,16 @@
             request = null;
             body = null;
             closeAfterAnswer = !HttpUtil.isKeepAlive(head);
-            Exchange next = new Exchange(front, this, head, whole);
+            CallerExchange next = new CallerExchange(front, this, head, whole);
             exchange = next;
             // Not from within the read: what follows looks whether the caller has closed the connection since.
             channel.eventLoop().execute(() -> begin(next));
         }
     }
 
-    private void begin(Exchange next) {
+    private void begin(CallerExchange next) {
         if (exchange == next) {
-            next.begin();
+            next.start();
         }
     }
 
@@ -191,11 +191,11 @@
         }
         request = null;
         closing = true;
-        write(response(new Refusal(kind, 0)), true);
+        write(response(new ErrorResponse(kind, 0)), true);
     }
 
     /** Answers the request under way with a failure of this process. */
-    void answer(Refusal refusal) {
+    void answer(ErrorResponse refusal) {
         write(response(refusal), false);
     }
 
@@ -262,22 +262,22 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (exchange != null) {
-            exchange.callerWritable(channel.isWritable());
+            exchange.callerWritabilityChanged(channel.isWritable());
         }
     }
 
-    private FullHttpResponse response(Refusal refusal) {
+    private FullHttpResponse response(ErrorResponse refusal) {
         FullHttpResponse full = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(refusal.kind().httpStatus()),
                 Unpooled.copiedBuffer("{\"error\":\"" + refusal.kind().wireName() + "\"}", CharsetUtil.US_ASCII));
         full.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
         full.headers().set(HttpHeaderNames.CONTENT_LENGTH, full.content().readableBytes());
-        if (refusal.comeBackMillis() > 0) {
+        if (refusal.retryAfterMillis() > 0) {
             full.headers()
                     .set(
                             HttpHeaderNames.RETRY_AFTER,
-                            String.format(Locale.ROOT, "%.3f", refusal.comeBackMillis() / 1e3));
+                            String.format(Locale.ROOT, "%.3f", refusal.retryAfterMillis() / 1e3));
         }
         return full;
     }
@@ -304,7 +304,7 @@
     }
 
     /** Closes a connection that has been idle, or whose request has been incomplete, for too long. */
-    void sweep(long nowMillis) {
+    void checkTimeouts(long nowMillis) {
         if (exchange != null || closing) {
             return;
         }
@@ -337,9 +337,9 @@
             body = null;
         }
         if (exchange != null) {
-            Exchange left = exchange;
+            CallerExchange left = exchange;
             exchange = null;
-            left.callerLeft(closeCause);
+            left.callerDisconnected(closeCause);
         }
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Exchange.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
@@ -28,7 +28,7 @@
  * <p>Once a byte has left for a target, the request has perhaps run: from then on it is answered with the target's
  * answer or with a failure that promises nothing, never with a refusal that says that it has not run.
  */
-final class Exchange implements Waiter, PlacementListener, TargetListener {
+final class CallerExchange implements Waiter, PlacementListener, TargetListener {
     /** Time beyond its patience that a request leaves a coordinator to refuse it; then it is refused here. */
     private static final long COORDINATOR_MARGIN_MILLIS = 150;
     /** Time left below which sending is pointless: a target needs about this for its shortest answer. */
@@ -68,9 +68,9 @@
     private TargetVisit visit;
     private TargetLink link;
     private SilenceWatch silence;
-    private AnswerAssembly answer;
+    private ResponseAssembler answer;
 
-    Exchange(Front front, CallerConnection caller, HttpRequest request, ByteBuf body) {
+    CallerExchange(Front front, CallerConnection caller, HttpRequest request, ByteBuf body) {
         this.front = front;
         this.caller = caller;
         this.request = request;
@@ -88,27 +88,27 @@
     }
 
     /** Reads the request, has it let in, and sends it or lets it wait. */
-    void begin() {
+    void start() {
         front.exchangeBegan(this);
         try {
             head = front.dialect().readRequest(request);
         } catch (BadRequestException e) {
             FrontLog.malformed(ErrorKind.MALFORMED, e.getMessage());
-            refuse(new Refusal(ErrorKind.MALFORMED, 0));
+            refuse(new ErrorResponse(ErrorKind.MALFORMED, 0));
             return;
         }
-        Admission.Result result = front.admission().decide(head, arrivedAtMillis);
-        if (result instanceof Admission.Refused refused) {
+        AdmissionControl.Result result = front.admission().decide(head, arrivedAtMillis);
+        if (result instanceof AdmissionControl.Refused refused) {
             organisation = refused.organisation();
             refuse(refused.refusal());
-        } else if (result instanceof Admission.Admitted admitted) {
-            begin(admitted);
+        } else if (result instanceof AdmissionControl.Admitted admitted) {
+            start(admitted);
         }
     }
 
-    private void begin(Admission.Admitted admitted) {
+    private void start(AdmissionControl.Admitted admitted) {
         route = admitted.route();
-        answer = new AnswerAssembly(route, caller, front.dialect());
+        answer = new ResponseAssembler(route, caller, front.dialect());
         organisation = admitted.organisation();
         service = admitted.service();
         tierRank = admitted.tierRank();
@@ -145,7 +145,7 @@
                 .promptTokens(head.promptTokens())
                 .answerTokens(head.answerTokens())
                 .remainingMillis(deadlineAtMillis - nowMillis)
-                .parts(head.parts())
+                .parts(head.promptParts())
                 .tierRank(tierRank)
                 .tried(tried)
                 .build();
@@ -186,12 +186,12 @@
     @Override
     public void overQuota(RefusalGrounds grounds) {
         long comeBackMillis = Math.max(grounds.comeBackMillis(), Front.NOT_READY_COME_BACK_MILLIS);
-        refuse(new Refusal(ErrorKind.OVER_QUOTA, comeBackMillis, Optional.of(grounds)));
+        refuse(new ErrorResponse(ErrorKind.OVER_QUOTA, comeBackMillis, Optional.of(grounds)));
     }
 
     @Override
     public void noCoordinator() {
-        Optional<Refusal> refusal = quotaTaken
+        Optional<ErrorResponse> refusal = quotaTaken
                 ? Optional.empty()
                 : front.admission().takeQuota(organisation, service, quotaTokens, front.nowMillis());
         if (refusal.isPresent()) {
@@ -247,7 +247,7 @@
 
     private void refuseUnplaced(long comeBackMillis, Optional<RefusalGrounds> grounds) {
         ErrorKind kind = tried.isEmpty() ? ErrorKind.SHED : ErrorKind.TARGET_REFUSED;
-        refuse(new Refusal(perhapsRun() ? ErrorKind.TARGET_LOST : kind, comeBackMillis, grounds));
+        refuse(new ErrorResponse(perhapsRun() ? ErrorKind.TARGET_LOST : kind, comeBackMillis, grounds));
     }
 
     private void connect(Candidate chosen, PlacementTicket placement, long nowMillis) {
@@ -255,7 +255,7 @@
         ticket = placement;
         String targetId = chosen.state().target().id();
         visit = new TargetVisit(front.entry(targetId), chosen, placement);
-        front.prompts().reads(head.parts(), targetId, nowMillis);
+        front.prompts().reads(head.promptParts(), targetId, nowMillis);
         visit.entry().pool().acquire(!route.idempotent(), this::connected);
     }
 
@@ -295,8 +295,8 @@
         tried.add(target.id());
         visit.sent(nowMillis);
         silence = new SilenceWatch(route.objectiveMillis(), visit.candidate().firstEventMillis(), nowMillis);
-        Optional<String> resumeAfter = answer.streamBegun() ? answer.lastEventId() : head.resumeAfterEvent();
-        Dispatch dispatch = new Dispatch(
+        Optional<String> resumeAfter = answer.streamBegun() ? answer.lastEventId() : head.lastEventId();
+        DispatchParameters dispatch = new DispatchParameters(
                 target.id(), organisation.map(Organisation::name), deadlineAtMillis - nowMillis, resumeAfter);
         front.metrics().waited(route.kind(), nowMillis - arrivedAtMillis);
         FrontLog.sent(this, target, nowMillis - arrivedAtMillis, visit.candidate());
@@ -304,7 +304,7 @@
     }
 
     @Override
-    public void head(HttpResponse response, AnswerHead read) {
+    public void head(HttpResponse response, ResponseHead read) {
         noteBytes();
         answer.head(response, read);
         if (read.status() / 100 == 2) {
@@ -320,7 +320,7 @@
         }
     }
 
-    void callerWritable(boolean writable) {
+    void callerWritabilityChanged(boolean writable) {
         if (link != null && stage == Stage.SENT) {
             link.reading(writable);
         }
@@ -392,12 +392,12 @@
             end();
         } else {
             end();
-            breakOff(CutCause.PART_OF_EVENT);
+            breakOff(TruncationCause.PART_OF_EVENT);
         }
     }
 
     /** Ends the caller's connection, since an answer that began can't be completed. */
-    private void breakOff(CutCause cause) {
+    private void breakOff(TruncationCause cause) {
         front.metrics().answerCut(cause);
         caller.breakOff();
     }
@@ -422,10 +422,10 @@
         if (answer.streamBegun()) {
             FrontLog.ended(this, entry(), "broken-off", answer.status(), ageMillis());
             end();
-            breakOff(CutCause.TARGET_LOST);
+            breakOff(TruncationCause.TARGET_LOST);
             return;
         }
-        refuse(new Refusal(ErrorKind.TARGET_LOST, 0));
+        refuse(new ErrorResponse(ErrorKind.TARGET_LOST, 0));
     }
 
     private boolean canRepeat(long nowMillis) {
@@ -445,10 +445,10 @@
         } else if (answer.streamBegun()) {
             FrontLog.ended(this, entry(), "broken-off", answer.status(), ageMillis());
             end();
-            breakOff(CutCause.TARGET_LOST);
+            breakOff(TruncationCause.TARGET_LOST);
         } else {
             ErrorKind kind = perhapsRun() ? ErrorKind.TARGET_LOST : ErrorKind.TARGET_REFUSED;
-            refuse(new Refusal(kind, front.lines().comeBackMillis(service)));
+            refuse(new ErrorResponse(kind, front.lines().comeBackMillis(service)));
         }
     }
 
@@ -464,7 +464,7 @@
     }
 
     /** Looks whether time has run out or the target has fallen silent. */
-    void tick(long nowMillis) {
+    void checkTimeouts(long nowMillis) {
         if (stage == Stage.ENDED || route == null) {
             return;
         }
@@ -499,15 +499,15 @@
             FrontLog.ended(this, entry(), "timed-out", answer.status(), ageMillis());
             abandonTarget();
             end();
-            breakOff(CutCause.TIMED_OUT);
+            breakOff(TruncationCause.TIMED_OUT);
             return;
         }
         boolean sent = perhapsRun();
         abandonTarget();
         refuse(
                 sent
-                        ? new Refusal(ErrorKind.DEADLINE_RUNNING, 0)
-                        : new Refusal(ErrorKind.HOPELESS, front.lines().comeBackMillis(service)));
+                        ? new ErrorResponse(ErrorKind.DEADLINE_RUNNING, 0)
+                        : new ErrorResponse(ErrorKind.HOPELESS, front.lines().comeBackMillis(service)));
     }
 
     /**
@@ -515,7 +515,7 @@
      *
      * @param closeCause why its connection closed
      */
-    void callerLeft(String closeCause) {
+    void callerDisconnected(String closeCause) {
         if (stage == Stage.ENDED) {
             return;
         }
@@ -527,7 +527,7 @@
             FrontLog.callerLeft(this, entry(), closeCause, ageMillis());
         }
         if (answer != null && answer.streamBegun()) {
-            front.metrics().answerCut(CutCause.CALLER_LEFT);
+            front.metrics().answerCut(TruncationCause.CALLER_LEFT);
         }
         end();
     }
@@ -540,7 +540,7 @@
         leaveTarget(RunEvent.RUN_GIVEN_UP);
     }
 
-    private void refuse(Refusal refusal) {
+    private void refuse(ErrorResponse refusal) {
         if (stage == Stage.ENDED) {
             return;
         }
@@ -551,7 +551,7 @@
         FrontLog.refused(this, refusal);
         end();
         if (answer != null && answer.streamBegun()) {
-            breakOff(CutCause.REFUSED);
+            breakOff(TruncationCause.REFUSED);
         } else {
             caller.answer(refusal);
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Dispatch.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/DispatchParameters.java
@@ -8,7 +8,7 @@
  * @param targetId id that the target must have, so that another one at a reused address refuses it
  * @param organisation name of the caller's organisation; empty on public routes
  * @param remainingMillis time left until the target must stop work
- * @param resumeAfterEvent id of the last event that the caller has; empty for a new run
+ * @param lastEventId id of the last event that the caller has; empty for a new run
  */
-public record Dispatch(
-        String targetId, Optional<String> organisation, long remainingMillis, Optional<String> resumeAfterEvent) {}
+public record DispatchParameters(
+        String targetId, Optional<String> organisation, long remainingMillis, Optional<String> lastEventId) {}
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Refusal.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ErrorResponse.java
@@ -8,11 +8,11 @@
  * A failure that a caller is told.
  *
  * @param kind what went wrong; it fixes the status and whether the request may have run
- * @param comeBackMillis when to come back, in milliseconds; 0 for no advice
+ * @param retryAfterMillis when to come back, in milliseconds; 0 for no advice
  * @param grounds what a coordinator based it on; empty when none decided
  */
-record Refusal(ErrorKind kind, long comeBackMillis, Optional<RefusalGrounds> grounds) {
-    Refusal(ErrorKind kind, long comeBackMillis) {
+record ErrorResponse(ErrorKind kind, long retryAfterMillis, Optional<RefusalGrounds> grounds) {
+    ErrorResponse(ErrorKind kind, long comeBackMillis) {
         this(kind, comeBackMillis, Optional.empty());
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
@@ -85,14 +85,14 @@
     private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
     private final OwnLines lines;
     private final Set<CallerConnection> connections = new LinkedHashSet<>();
-    private final Set<Exchange> exchanges = new LinkedHashSet<>();
+    private final Set<CallerExchange> exchanges = new LinkedHashSet<>();
     private final FrontMetrics metrics = new FrontMetrics();
-    private final CallerServer callers;
+    private final CallerAcceptor callers;
     private final FleetStateExchange news;
     private final PeerDatagrams datagrams;
     private final Gossip gossip;
     private final Coordination coordination;
-    private final Admission admission = new Admission(this);
+    private final AdmissionControl admission = new AdmissionControl(this);
     private final PeerItems peerItems;
     private final ItemFeed feed;
     private Optional<Catalog> catalog = Optional.empty();
@@ -135,7 +135,7 @@
                 new Coordination(settings, members, targets, datagrams, ticker, this::coordinator, this::coordinated);
         gossip = new Gossip(
                 settings, members, ticker, random, datagrams, news::applyReport, coordination::coordinatorIps);
-        callers = new CallerServer(this, loop, callerPort);
+        callers = new CallerAcceptor(this, loop, callerPort);
     }
 
     /**
@@ -204,7 +204,7 @@
         metrics.gauge("whinwharf.items.revision", "Revision of the published items", feed::revision);
         metrics.gauge("whinwharf.watching", "1 while the own watch works", () -> feed.watchHealthy() ? 1 : 0);
         metrics.gauge("whinwharf.targets.ejected", "Targets out of use after failures", targets::ejected);
-        new HttpEndpoint(loop, (method, uri) -> new HttpEndpoint.Answer(200, "text/plain", metrics.scrape()))
+        new HttpEndpoint(loop, (method, uri) -> new HttpEndpoint.Response(200, "text/plain", metrics.scrape()))
                 .bind(settings.ip(), settings.metricsPort())
                 .addListener(bound -> {
                     if (!bound.isSuccess()) {
@@ -379,7 +379,7 @@
         long nowMillis = ticker.nowMillis();
         news.updateRemoteLoads(nowMillis);
         coordination.tick();
-        List.copyOf(exchanges).forEach(exchange -> exchange.tick(nowMillis));
+        List.copyOf(exchanges).forEach(exchange -> exchange.checkTimeouts(nowMillis));
         lines.advance(nowMillis);
         if (phase == MemberPhase.MEMBER_LEAVING) {
             drain(nowMillis);
@@ -391,7 +391,7 @@
         serveOnceKnown();
         feed.tick();
         targets.sweep();
-        List.copyOf(connections).forEach(connection -> connection.sweep(nowMillis));
+        List.copyOf(connections).forEach(connection -> connection.checkTimeouts(nowMillis));
         members.forget(nowMillis)
                 .forEach(name -> EventLog.event(LogEvent.MEMBER_FORGOTTEN)
                         .with(EventField.PEER, name)
@@ -536,7 +536,7 @@
         return settings.dataCentre();
     }
 
-    Admission admission() {
+    AdmissionControl admission() {
         return admission;
     }
 
@@ -556,11 +556,11 @@
         entry.state().health().succeeded();
     }
 
-    void exchangeBegan(Exchange exchange) {
+    void exchangeBegan(CallerExchange exchange) {
         exchanges.add(exchange);
     }
 
-    void exchangeEnded(Exchange exchange) {
+    void exchangeEnded(CallerExchange exchange) {
         exchanges.remove(exchange);
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
@@ -27,7 +27,7 @@
                 .call();
     }
 
-    static void sent(Exchange exchange, Target target, long waitedMillis, Candidate candidate) {
+    static void sent(CallerExchange exchange, Target target, long waitedMillis, Candidate candidate) {
         EventLog.event(LogEvent.REQUEST_SENT)
                 .with(EventField.REQUEST, exchange.head().attemptId())
                 .with(EventField.TARGET, target.id())
@@ -42,18 +42,19 @@
                 .call();
     }
 
-    static void ended(Exchange exchange, TargetEntry entry, String reason, int status, long totalMillis) {
+    static void ended(CallerExchange exchange, TargetEntry entry, String reason, int status, long totalMillis) {
         endLine(exchange, entry, reason, status, totalMillis).call();
     }
 
     /** Tells that a caller left; the kind of the line is why its connection closed. */
-    static void callerLeft(Exchange exchange, TargetEntry entry, String closeCause, long totalMillis) {
+    static void callerLeft(CallerExchange exchange, TargetEntry entry, String closeCause, long totalMillis) {
         endLine(exchange, entry, "caller-left", 0, totalMillis)
                 .with(EventField.KIND, closeCause)
                 .call();
     }
 
-    private static EventLog endLine(Exchange exchange, TargetEntry entry, String reason, int status, long totalMillis) {
+    private static EventLog endLine(
+            CallerExchange exchange, TargetEntry entry, String reason, int status, long totalMillis) {
         EventLog line = EventLog.event(LogEvent.REQUEST_ENDED)
                 .with(EventField.REQUEST, exchange.head().attemptId())
                 .with(EventField.REASON, reason)
@@ -66,14 +67,14 @@
         return line;
     }
 
-    static void refused(Exchange exchange, Refusal refusal) {
+    static void refused(CallerExchange exchange, ErrorResponse refusal) {
         EventLog line = EventLog.event(LogEvent.REQUEST_REFUSED)
                 .with(EventField.SERVICE, exchange.service())
                 .with(EventField.TIER_RANK, exchange.tierRank())
                 .with(EventField.KIND, refusal.kind().wireName())
                 .with(EventField.RAN, refusal.kind().ran().wireName())
                 .with(EventField.WAITED_MILLIS, exchange.ageMillis())
-                .with(EventField.COME_BACK_MILLIS, refusal.comeBackMillis())
+                .with(EventField.COME_BACK_MILLIS, refusal.retryAfterMillis())
                 .with(EventField.VERSION, exchange.knowledge().catalogVersion())
                 .with(EventField.AGE_MILLIS, exchange.knowledge().itemsAgeMillis());
         if (exchange.head() != null) {
@@ -88,7 +89,7 @@
     }
 
     /** Adds what the coordinator knew when it decided; its news of the line is its own and has no age. */
-    private static void addGrounds(EventLog line, Exchange exchange, RefusalGrounds grounds) {
+    private static void addGrounds(EventLog line, CallerExchange exchange, RefusalGrounds grounds) {
         line.with(EventField.PEER, exchange.coordinatorName());
         if (grounds.quotaLevelTokens() != 0) {
             line.with(EventField.QUOTA_LEVEL, grounds.quotaLevelTokens());
@@ -99,7 +100,7 @@
                 .with(EventField.STANDING_MILLIS, grounds.standingMillis());
     }
 
-    static void repeated(Exchange exchange, Target target, String reason) {
+    static void repeated(CallerExchange exchange, Target target, String reason) {
         EventLog.event(LogEvent.REQUEST_REPEATED)
                 .with(EventField.REQUEST, exchange.head().attemptId())
                 .with(EventField.TARGET, target.id())
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontMetrics.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontMetrics.java
@@ -20,7 +20,7 @@
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final Map<ErrorKind, Counter> failures = new EnumMap<>(ErrorKind.class);
-    private final Map<CutCause, Counter> cuts = new EnumMap<>(CutCause.class);
+    private final Map<TruncationCause, Counter> cuts = new EnumMap<>(TruncationCause.class);
     private final Map<ItemsRequestOutcome, Counter> questions = new EnumMap<>(ItemsRequestOutcome.class);
     private final Map<RouteKind, Timer> firstBytes = new EnumMap<>(RouteKind.class);
     private final Map<RouteKind, Timer> waits = new EnumMap<>(RouteKind.class);
@@ -68,7 +68,7 @@
     }
 
     /** Counts a stream that ended without its last event. */
-    void answerCut(CutCause cause) {
+    void answerCut(TruncationCause cause) {
         cuts.computeIfAbsent(
                         cause,
                         key -> counter(
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/HttpDialect.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/HttpDialect.java
@@ -24,7 +24,7 @@
      * @param dispatch how it is sent
      * @return head without framing of the body
      */
-    HttpRequest targetRequest(HttpRequest request, Dispatch dispatch);
+    HttpRequest targetRequest(HttpRequest request, DispatchParameters dispatch);
 
     /**
      * Reads the head of a target's answer.
@@ -32,7 +32,7 @@
      * @param response head of the answer
      * @return what it says
      */
-    AnswerHead readAnswer(HttpResponse response);
+    ResponseHead readResponse(HttpResponse response);
 
     /**
      * Returns the headers of a target's answer that go to the caller.
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/HttpEndpoint.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/HttpEndpoint.java
@@ -32,7 +32,7 @@
 
     /** Answers one question. */
     @FunctionalInterface
-    public interface Answerer {
+    public interface RequestHandler {
         /**
          * Answers a question.
          *
@@ -40,7 +40,7 @@
          * @param uri path and query
          * @return the answer
          */
-        Answer answer(String method, String uri);
+        Response handle(String method, String uri);
     }
 
     /**
@@ -48,24 +48,24 @@
      *
      * @param status HTTP status
      * @param contentType media type
-     * @param text the body
+     * @param body the body
      * @param headers further headers
      */
-    public record Answer(int status, String contentType, String text, Map<String, String> headers) {
+    public record Response(int status, String contentType, String body, Map<String, String> headers) {
         /**
          * Creates an answer without further headers.
          *
          * @param status HTTP status
          * @param contentType media type
-         * @param text the body
+         * @param body the body
          */
-        public Answer(int status, String contentType, String text) {
+        public Response(int status, String contentType, String text) {
             this(status, contentType, text, Map.of());
         }
     }
 
     private final EventLoopGroup loop;
-    private final Answerer answerer;
+    private final RequestHandler answerer;
     private Channel server;
 
     /**
@@ -74,7 +74,7 @@
      * @param loop thread that serves it
      * @param answerer answers the questions, on that thread
      */
-    public HttpEndpoint(EventLoopGroup loop, Answerer answerer) {
+    public HttpEndpoint(EventLoopGroup loop, RequestHandler answerer) {
         this.loop = loop;
         this.answerer = answerer;
     }
@@ -127,13 +127,13 @@
     private final class QuestionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest question) {
-            Answer answer = question.decoderResult().isFailure()
-                    ? new Answer(400, "text/plain", "")
-                    : answerer.answer(question.method().name(), question.uri());
+            Response answer = question.decoderResult().isFailure()
+                    ? new Response(400, "text/plain", "")
+                    : answerer.handle(question.method().name(), question.uri());
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(answer.status()),
-                    Unpooled.copiedBuffer(answer.text(), StandardCharsets.UTF_8));
+                    Unpooled.copiedBuffer(answer.body(), StandardCharsets.UTF_8));
             answer.headers().forEach((name, value) -> response.headers().set(name, value));
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
             response.headers()
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/AnswerCodec.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemsAnswerCodec.java
@@ -12,11 +12,11 @@
 import org.whinwharf.wire.fleet.ItemsAnswer;
 
 /** Deflates large answers with published items: a change of one key is a whole configuration, full of like lines. */
-final class AnswerCodec {
+final class ItemsAnswerCodec {
     /** Size in bytes from which on an answer is deflated; a smaller one fits into one packet as it is. */
     private static final int DEFLATE_FROM_BYTES = 1_400;
 
-    private AnswerCodec() {}
+    private ItemsAnswerCodec() {}
 
     /**
      * Deflates an answer when it is large.
@@ -24,7 +24,7 @@
      * @param answer the answer
      * @return what is sent in its place
      */
-    static ItemsAnswer pack(ItemsAnswer answer) {
+    static ItemsAnswer compress(ItemsAnswer answer) {
         if (answer.getSerializedSize() < DEFLATE_FROM_BYTES) {
             return answer;
         }
@@ -50,7 +50,7 @@
      * @return the answer
      * @throws IOException when it cannot be read or is too large
      */
-    static ItemsAnswer unpack(ItemsAnswer received, int mostBytes) throws IOException {
+    static ItemsAnswer decompress(ItemsAnswer received, int mostBytes) throws IOException {
         if (received.getDeflated().isEmpty()) {
             return received;
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItems.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItems.java
@@ -172,7 +172,8 @@
 
     private ItemsAnswer packed(long afterRevision) {
         if (lastPacked.afterRevision() != afterRevision || lastPacked.revision() != mirror.revision()) {
-            lastPacked = new Packed(afterRevision, mirror.revision(), AnswerCodec.pack(answerAfter(afterRevision)));
+            lastPacked =
+                    new Packed(afterRevision, mirror.revision(), ItemsAnswerCodec.compress(answerAfter(afterRevision)));
         }
         return lastPacked.answer();
     }
@@ -249,7 +250,7 @@
     /** One connection to a peer, with at most one question under way. */
     private final class Asker extends SimpleChannelInboundHandler<ByteBuf> {
         private final String ip;
-        private final AnswerTimeout timeout = new AnswerTimeout(loop);
+        private final ResponseTimeout timeout = new ResponseTimeout(loop);
         private Channel channel;
         private ItemsRequest question;
         private Consumer<Optional<ItemsAnswer>> taker;
@@ -266,7 +267,7 @@
         void ask(ItemsRequest asked, Consumer<Optional<ItemsAnswer>> follower) {
             question = asked;
             taker = follower;
-            timeout.begin(asked.getWaitMillis() + FIRST_BYTE_MARGIN_MILLIS, this::late);
+            timeout.start(asked.getWaitMillis() + FIRST_BYTE_MARGIN_MILLIS, this::late);
             write(channel, asked);
         }
 
@@ -279,15 +280,15 @@
             if (taker != null) {
                 Consumer<Optional<ItemsAnswer>> once = taker;
                 taker = null;
-                timeout.end();
-                ended(outcome, ip, question, timeout.receivedBytes(), timeout.waitedMillis());
+                timeout.cancel();
+                ended(outcome, ip, question, timeout.receivedBytes(), timeout.elapsedMillis());
                 once.accept(answer);
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) throws Exception {
-            ItemsAnswer answer = AnswerCodec.unpack(ItemsAnswer.parseFrom(frame.nioBuffer()), MOST_BYTES);
+            ItemsAnswer answer = ItemsAnswerCodec.decompress(ItemsAnswer.parseFrom(frame.nioBuffer()), MOST_BYTES);
             keep(this);
             finish(ItemsRequestOutcome.ANSWERED, Optional.of(answer));
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/RequestHead.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/RequestHead.java
@@ -35,7 +35,7 @@
      *
      * @return time in milliseconds; empty when it does not say
      */
-    OptionalLong deadlineMillis();
+    OptionalLong timeoutMillis();
 
     /**
      * Returns the key that the caller shows.
@@ -43,7 +43,7 @@
      * @return key; a secret, never logged
      */
     @Value.Redacted
-    Optional<String> key();
+    Optional<String> apiKey();
 
     /**
      * Returns the model that the request needs.
@@ -71,19 +71,19 @@
      *
      * @return true when it does
      */
-    boolean countsTokens();
+    boolean hasTokenCounts();
 
     /**
      * Returns the parts of the prompt.
      *
      * @return parts, in order; empty when the caller names none
      */
-    List<PromptPart> parts();
+    List<PromptPart> promptParts();
 
     /**
      * Returns the event after which the caller resumes a stream.
      *
      * @return id of the last event it has; empty for a new stream
      */
-    Optional<String> resumeAfterEvent();
+    Optional<String> lastEventId();
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/AnswerAssembly.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseAssembler.java
@@ -14,25 +14,25 @@
  * <p>Streams are passed on as they come; anything else is collected first, so that half an answer can still be fetched
  * elsewhere and never goes out under a success.
  */
-final class AnswerAssembly {
+final class ResponseAssembler {
     private final Route route;
     private final CallerConnection caller;
     private final HttpDialect dialect;
     private final EventStreamRelay relay = new EventStreamRelay();
     private HttpResponse answer;
-    private AnswerHead head;
+    private ResponseHead head;
     private boolean streamBegun;
     private boolean tooLong;
     private CompositeByteBuf collected;
 
-    AnswerAssembly(Route route, CallerConnection caller, HttpDialect dialect) {
+    ResponseAssembler(Route route, CallerConnection caller, HttpDialect dialect) {
         this.route = route;
         this.caller = caller;
         this.dialect = dialect;
     }
 
     /** Takes the head of a target's answer. */
-    void head(HttpResponse response, AnswerHead read) {
+    void head(HttpResponse response, ResponseHead read) {
         head = read;
         if (refused()) {
             return;
@@ -79,12 +79,12 @@
 
     /** Tells whether the target said that it did not run the request. */
     boolean refused() {
-        return head.notExecuted() || head.otherTarget();
+        return head.notExecuted() || head.wrongTarget();
     }
 
     /** Tells whether another target answered than the one that was meant. */
     boolean fromOtherTarget() {
-        return head.otherTarget();
+        return head.wrongTarget();
     }
 
     /** Tells whether what came can be passed on: signed if a success, whole, and of a kind with what went before. */
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/AnswerHead.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseHead.java
@@ -5,7 +5,7 @@
 
 /** What the head of a target's answer says. */
 @Value.Immutable
-public interface AnswerHead {
+public interface ResponseHead {
     /**
      * Returns the HTTP status.
      *
@@ -32,7 +32,7 @@
      *
      * @return true when the address now belongs to another target
      */
-    boolean otherTarget();
+    boolean wrongTarget();
 
     /**
      * Tells whether the answer bears the target's signature.
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/AnswerTimeout.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseTimeout.java
@@ -14,7 +14,7 @@
  * <p>An answer that keeps coming is waited for, whatever its size: a limit on the whole of it would have a host with a
  * small link throw away what it has and ask for all of it again, for ever.
  */
-public final class AnswerTimeout {
+public final class ResponseTimeout {
     /** Time without a byte after which an answer that has begun counts as lost. */
     private static final long STALLED_MILLIS = 1_000;
     /** Longest time for an answer that keeps coming; another source may then be faster. */
@@ -32,7 +32,7 @@
      *
      * @param loop the thread on which everything about the answer runs
      */
-    public AnswerTimeout(EventLoopGroup loop) {
+    public ResponseTimeout(EventLoopGroup loop) {
         this.loop = loop;
     }
 
@@ -40,9 +40,9 @@
      * Begins to wait for an answer.
      *
      * @param firstByteMillis time in milliseconds within which its first byte must come
-     * @param action run once when the answer is late; not after {@link #end()}
+     * @param action run once when the answer is late; not after {@link #cancel()}
      */
-    public void begin(long firstByteMillis, Runnable action) {
+    public void start(long firstByteMillis, Runnable action) {
         whenLate = action;
         beganAtNanos = System.nanoTime();
         receivedBytes = 0;
@@ -50,7 +50,7 @@
     }
 
     /** Ends the wait. */
-    public void end() {
+    public void cancel() {
         if (next != null) {
             next.cancel(false);
             next = null;
@@ -62,7 +62,7 @@
      *
      * @return true between its first byte and its end
      */
-    public boolean coming() {
+    public boolean isReceiving() {
         return next != null && receivedBytes > 0;
     }
 
@@ -80,7 +80,7 @@
      *
      * @return milliseconds
      */
-    public long waitedMillis() {
+    public long elapsedMillis() {
         return millisSince(beganAtNanos);
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetLink.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetLink.java
@@ -130,7 +130,7 @@
             phase = Phase.SKIPPING_BODY;
             return;
         }
-        AnswerHead answer = dialect.readAnswer(response);
+        ResponseHead answer = dialect.readResponse(response);
         if (!HttpUtil.isKeepAlive(response)) {
             reusable = false;
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetListener.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetListener.java
@@ -6,7 +6,7 @@
 /** Follows one request at a target. */
 interface TargetListener {
     /** Takes the head of the answer. */
-    void head(HttpResponse response, AnswerHead head);
+    void head(HttpResponse response, ResponseHead head);
 
     /** Takes a piece of the body; the buffer is the caller's to release. */
     void content(ByteBuf piece);
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Targets.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Targets.java
@@ -262,7 +262,7 @@
         }
 
         @Override
-        public void head(HttpResponse response, AnswerHead head) {
+        public void head(HttpResponse response, ResponseHead head) {
             coldMillis = dialect.readHealth(response, entry.state().target().id());
         }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CutCause.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TruncationCause.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why a stream ended without its last event. */
-enum CutCause {
+enum TruncationCause {
     /** The caller's connection closed. */
     CALLER_LEFT,
     /** The target failed, and no other could go on with the stream. */
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformDialectTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformDialectTest.java
@@ -16,10 +16,10 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
-import org.whinwharf.front.AnswerHead;
 import org.whinwharf.front.BadRequestException;
-import org.whinwharf.front.Dispatch;
+import org.whinwharf.front.DispatchParameters;
 import org.whinwharf.front.RequestHead;
+import org.whinwharf.front.ResponseHead;
 import org.whinwharf.traffic.target.PromptPart;
 
 class PlatformDialectTest {
@@ -45,9 +45,9 @@
         assertThat(head.path(), is("/a/b"));
         assertThat(head.promptTokens(), is(1_460L));
         assertThat(head.answerTokens(), is(80L));
-        assertThat(head.deadlineMillis(), is(OptionalLong.of(12_000)));
-        assertThat(head.parts(), contains(new PromptPart("5c1e", 800), new PromptPart("91bd", 660)));
-        assertThat(head.key(), is(Optional.of("secret")));
+        assertThat(head.timeoutMillis(), is(OptionalLong.of(12_000)));
+        assertThat(head.promptParts(), contains(new PromptPart("5c1e", 800), new PromptPart("91bd", 660)));
+        assertThat(head.apiKey(), is(Optional.of("secret")));
     }
 
     @Test
@@ -75,8 +75,8 @@
                 .set("Kv-From", "10.0.0.1:1/x")
                 .set("Connection", "keep-alive, X-Secret")
                 .set("X-Secret", "s");
-        HttpRequest sent =
-                dialect.targetRequest(request, new Dispatch("i-1", Optional.of("obec"), 900, Optional.empty()));
+        HttpRequest sent = dialect.targetRequest(
+                request, new DispatchParameters("i-1", Optional.of("obec"), 900, Optional.empty()));
         assertThat(sent.headers().get("X-Tenant"), is("obec"));
         assertThat(sent.headers().get("X-Expect-Instance"), is("i-1"));
         assertThat(sent.headers().get("X-Deadline-Ms"), is("900"));
@@ -92,16 +92,17 @@
     void publicRequestNamesNoOrganisation() {
         HttpRequest request = request();
         request.headers().set("X-Tenant", "forged");
-        HttpRequest sent = dialect.targetRequest(request, new Dispatch("i-1", Optional.empty(), 900, Optional.empty()));
+        HttpRequest sent =
+                dialect.targetRequest(request, new DispatchParameters("i-1", Optional.empty(), 900, Optional.empty()));
         assertThat(sent.headers().get("X-Tenant"), nullValue());
     }
 
     @Test
     void answerSaysWhetherItRan() {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
-        assertThat(dialect.readAnswer(response).notExecuted(), is(false));
+        assertThat(dialect.readResponse(response).notExecuted(), is(false));
         response.headers().set("X-Not-Executed", "1").set("Keep-Alive", "timeout=4, max=9");
-        AnswerHead head = dialect.readAnswer(response);
+        ResponseHead head = dialect.readResponse(response);
         assertThat(head.notExecuted(), is(true));
         assertThat(head.keepAliveMillis(), is(OptionalLong.of(4_000)));
     }
