--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/TestDialect.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/TestDialect.java
@@ -24,13 +24,13 @@
                 .attemptId(attempt)
                 .authority(request.headers().get("Host"))
                 .path(request.uri())
-                .deadlineMillis(OptionalLong.empty())
-                .key(Optional.empty())
+                .timeoutMillis(OptionalLong.empty())
+                .apiKey(Optional.empty())
                 .model("")
                 .promptTokens(0)
                 .answerTokens(0)
-                .countsTokens(false)
-                .resumeAfterEvent(Optional.empty())
+                .hasTokenCounts(false)
+                .lastEventId(Optional.empty())
                 .build();
     }
 
@@ -48,11 +48,11 @@
 
     @Override
     public ResponseHead readResponse(HttpResponse response) {
-        return ImmutableAnswerHead.builder()
+        return ImmutableResponseHead.builder()
                 .status(response.status().code())
                 .attemptId(response.headers().get("Attempt", ""))
                 .notExecuted(response.headers().contains("Not-Run"))
-                .otherTarget(response.status().code() == 421)
+                .wrongTarget(response.status().code() == 421)
                 .signed(response.headers().contains("Signed"))
                 .keepAliveMillis(OptionalLong.of(10_000))
                 .build();
