--- a/org.whinwharf.bench/src/main/java/org/whinwharf/bench/capacity/CoordinatorLoad.java
+++ b/org.whinwharf.bench/src/main/java/org/whinwharf/bench/capacity/CoordinatorLoad.java
@@ -9,17 +9,17 @@
 import java.util.Random;
 import java.util.Set;
 import org.HdrHistogram.Histogram;
-import org.whinwharf.traffic.coordination.Ask;
 import org.whinwharf.traffic.coordination.Coordinator;
-import org.whinwharf.traffic.coordination.ImmutableAsk;
-import org.whinwharf.traffic.coordination.ImmutableCoordinatorParts;
-import org.whinwharf.traffic.coordination.Outbox;
-import org.whinwharf.traffic.coordination.RefusalGrounds;
+import org.whinwharf.traffic.coordination.DecisionListener;
+import org.whinwharf.traffic.coordination.ImmutableCoordinatorDependencies;
+import org.whinwharf.traffic.coordination.ImmutablePlacementRequest;
+import org.whinwharf.traffic.coordination.PlacementRequest;
+import org.whinwharf.traffic.coordination.RejectionDetails;
 import org.whinwharf.traffic.coordination.RunningRequests;
-import org.whinwharf.traffic.coordination.TargetReports;
+import org.whinwharf.traffic.coordination.TargetOutcomeListener;
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.traffic.placement.ImmutableDemand;
-import org.whinwharf.traffic.placement.Placement;
+import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.quota.QuotaLedger;
 import org.whinwharf.traffic.target.ImmutableTarget;
 import org.whinwharf.traffic.target.PromptCache;
@@ -31,7 +31,7 @@
  * Feeds a coordinator with the asks and ends of a whole fleet, on a clock of its own, and times each step. A third of
  * the requests are long, a third middling and a third short, as on the grown deployments in use.
  */
-final class CoordinatorLoad implements Outbox, TargetReports {
+final class CoordinatorLoad implements DecisionListener, TargetOutcomeListener {
     private static final String SERVICE = "engines";
     private static final long LOOK_MILLIS = 20;
     private static final long LIST_MILLIS = 1_000;
@@ -73,16 +73,16 @@
             targets.put("engine-" + i, new TargetState(target("engine-" + i, slots)));
         }
         PromptCache prompts = new PromptCache();
-        coordinator = new Coordinator(ImmutableCoordinatorParts.builder()
-                .ownName("front-0")
-                .placement(new Placement(prompts, target -> 0, () -> 0))
-                .prompts(prompts)
+        coordinator = new Coordinator(ImmutableCoordinatorDependencies.builder()
+                .localName("front-0")
+                .targetSelector(new TargetSelector(prompts, target -> 0, () -> 0))
+                .promptCache(prompts)
                 .targets(service -> targets.values())
-                .evacuated(Set::of)
+                .evacuatedDataCentres(Set::of)
                 .quotas(new QuotaLedger(true))
-                .outbox(this)
-                .reports(this)
-                .loads((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
+                .decisionListener(this)
+                .targetOutcomeListener(this)
+                .loadListener((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
                 .random(random::nextDouble)
                 .build());
     }
@@ -117,7 +117,7 @@
             }
             if (nowMillis % LIST_MILLIS < fronts.size()) {
                 String front = fronts.get((int) (nowMillis % LIST_MILLIS));
-                time(listNanos, () -> coordinator.underWay(front, SERVICE, underWay.get(front), nowMillis));
+                time(listNanos, () -> coordinator.reportInFlight(front, SERVICE, underWay.get(front), nowMillis));
             }
         }
     }
@@ -134,28 +134,29 @@
         }
         time(
                 progressNanos,
-                () -> coordinator.progress(next.front(), next.id(), next.event(), FIRST_EVENT_MILLIS, nowMillis));
+                () -> coordinator.reportProgress(next.front(), next.id(), next.event(), FIRST_EVENT_MILLIS, nowMillis));
     }
 
     private void ask(int kind) {
         long id = ++lastId * HOLD_MILLIS.length + kind;
-        Ask ask = ImmutableAsk.builder()
+        PlacementRequest ask = ImmutablePlacementRequest.builder()
                 .requester(fronts.get(random.nextInt(fronts.size())))
                 .id(id)
                 .demand(ImmutableDemand.builder()
                         .service(SERVICE)
                         .dataCentre("a")
                         .promptTokens(PROMPT_TOKENS[kind])
-                        .answerTokens(ANSWER_TOKENS[kind])
+                        .maxAnswerTokens(ANSWER_TOKENS[kind])
                         .remainingMillis(DEADLINE_MILLIS)
-                        .addParts(new PromptPart("shared", 60), new PromptPart("own-" + id, PROMPT_TOKENS[kind] - 60))
+                        .addPromptParts(
+                                new PromptPart("shared", 60), new PromptPart("own-" + id, PROMPT_TOKENS[kind] - 60))
                         .tierRank(kind)
                         .build())
                 .deadlineAtMillis(nowMillis + DEADLINE_MILLIS)
-                .patienceUntilMillis(nowMillis + 2 * OBJECTIVE_MILLIS)
+                .queueTimeoutAtMillis(nowMillis + 2 * OBJECTIVE_MILLIS)
                 .onTimeUntilMillis(nowMillis + OBJECTIVE_MILLIS * 4 / 5)
                 .build();
-        time(askNanos, () -> coordinator.ask(ask, nowMillis));
+        time(askNanos, () -> coordinator.requestPlacement(ask, nowMillis));
     }
 
     /** Starts the times and counts anew, for what was not compiled yet would count as well. */
@@ -193,7 +194,7 @@
     }
 
     @Override
-    public void granted(Ask ask, Candidate candidate) {
+    public void granted(PlacementRequest ask, Candidate candidate) {
         granted++;
         String targetId = candidate.state().target().id();
         long holdMillis = HOLD_MILLIS[(int) (ask.id() % HOLD_MILLIS.length)];
@@ -207,15 +208,15 @@
     }
 
     @Override
-    public void waiting(Ask ask) {}
+    public void queued(PlacementRequest ask) {}
 
     @Override
-    public void shed(Ask ask, RefusalGrounds grounds) {
+    public void shed(PlacementRequest ask, RejectionDetails grounds) {
         refused++;
     }
 
     @Override
-    public void overQuota(Ask ask, RefusalGrounds grounds) {
+    public void overQuota(PlacementRequest ask, RejectionDetails grounds) {
         refused++;
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/AdmissionControl.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/AdmissionControl.java
@@ -7,7 +7,7 @@
 import org.whinwharf.traffic.catalog.Organisation;
 import org.whinwharf.traffic.catalog.Route;
 import org.whinwharf.traffic.catalog.TierRank;
-import org.whinwharf.traffic.waiting.Patience;
+import org.whinwharf.traffic.waiting.QueueTimeouts;
 
 /** Decides on arrival whether a request is let in, by routes, keys and quotas. */
 final class AdmissionControl {
@@ -113,7 +113,7 @@
                 tokens,
                 quotaTaken,
                 nowMillis + allowedMillis,
-                nowMillis + Patience.waitMillis(route.objectiveMillis(), allowedMillis));
+                nowMillis + QueueTimeouts.queueTimeoutMillis(route.objectiveMillis(), allowedMillis));
     }
 
     private static long tokens(RequestHead head, Optional<Organisation> organisation) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
@@ -11,14 +11,14 @@
 import org.whinwharf.errors.ErrorKind;
 import org.whinwharf.traffic.catalog.Organisation;
 import org.whinwharf.traffic.catalog.Route;
-import org.whinwharf.traffic.coordination.RefusalGrounds;
+import org.whinwharf.traffic.coordination.RejectionDetails;
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.traffic.placement.Demand;
 import org.whinwharf.traffic.placement.ImmutableDemand;
 import org.whinwharf.traffic.target.Target;
-import org.whinwharf.traffic.waiting.Attempt;
-import org.whinwharf.traffic.waiting.Patience;
-import org.whinwharf.traffic.waiting.Waiter;
+import org.whinwharf.traffic.waiting.DispatchResult;
+import org.whinwharf.traffic.waiting.QueueTimeouts;
+import org.whinwharf.traffic.waiting.QueuedRequest;
 import org.whinwharf.wire.fleet.PlacementAsk;
 import org.whinwharf.wire.fleet.RunEvent;
 
@@ -28,7 +28,7 @@
  * <p>Once a byte has left for a target, the request has perhaps run: from then on it is answered with the target's
  * answer or with a failure that promises nothing, never with a refusal that says that it has not run.
  */
-final class CallerExchange implements Waiter, PlacementListener, TargetListener {
+final class CallerExchange implements QueuedRequest, PlacementListener, TargetListener {
     /** Time beyond its patience that a request leaves a coordinator to refuse it; then it is refused here. */
     private static final long COORDINATOR_MARGIN_MILLIS = 150;
     /** Time left below which sending is pointless: a target needs about this for its shortest answer. */
@@ -131,7 +131,8 @@
 
     private void placeHere(long nowMillis) {
         stage = Stage.WAITING;
-        if (!front.lines().of(service).hasAhead(tierRank) && !trySend(nowMillis).waits()) {
+        if (!front.lines().of(service).hasQueuedAhead(tierRank)
+                && !tryDispatch(nowMillis).stillQueued()) {
             return;
         }
         front.lines().of(service).add(this, nowMillis);
@@ -143,11 +144,11 @@
                 .dataCentre(front.dataCentre())
                 .model(head.model())
                 .promptTokens(head.promptTokens())
-                .answerTokens(head.answerTokens())
+                .maxAnswerTokens(head.answerTokens())
                 .remainingMillis(deadlineAtMillis - nowMillis)
-                .parts(head.promptParts())
+                .promptParts(head.promptParts())
                 .tierRank(tierRank)
-                .tried(tried)
+                .triedTargets(tried)
                 .build();
     }
 
@@ -179,13 +180,13 @@
     }
 
     @Override
-    public void shed(RefusalGrounds grounds) {
-        refuseUnplaced(grounds.comeBackMillis(), Optional.of(grounds));
+    public void shed(RejectionDetails grounds) {
+        refuseUnplaced(grounds.retryAfterMillis(), Optional.of(grounds));
     }
 
     @Override
-    public void overQuota(RefusalGrounds grounds) {
-        long comeBackMillis = Math.max(grounds.comeBackMillis(), Front.NOT_READY_COME_BACK_MILLIS);
+    public void overQuota(RejectionDetails grounds) {
+        long comeBackMillis = Math.max(grounds.retryAfterMillis(), Front.NOT_READY_COME_BACK_MILLIS);
         refuse(new ErrorResponse(ErrorKind.OVER_QUOTA, comeBackMillis, Optional.of(grounds)));
     }
 
@@ -208,44 +209,44 @@
     }
 
     @Override
-    public long patienceUntilMillis() {
+    public long queueTimeoutAtMillis() {
         return patienceUntilMillis;
     }
 
     @Override
-    public long standingUntilMillis() {
-        long onTimeMillis = Patience.onTimeMillis(route.objectiveMillis());
-        return sends > 0 ? patienceUntilMillis : arrivedAtMillis + Patience.standingMillis(onTimeMillis);
+    public long backlogTimeoutAtMillis() {
+        long onTimeMillis = QueueTimeouts.onTimeMillis(route.objectiveMillis());
+        return sends > 0 ? patienceUntilMillis : arrivedAtMillis + QueueTimeouts.backlogTimeoutMillis(onTimeMillis);
     }
 
     @Override
     public long onTimeUntilMillis() {
-        return arrivedAtMillis + Patience.onTimeMillis(route.objectiveMillis());
+        return arrivedAtMillis + QueueTimeouts.onTimeMillis(route.objectiveMillis());
     }
 
     @Override
-    public String needs() {
+    public String requiredModel() {
         return head.model();
     }
 
     @Override
-    public Attempt trySend(long nowMillis) {
+    public DispatchResult tryDispatch(long nowMillis) {
         Optional<Candidate> chosen = front.choose(demand(nowMillis), nowMillis);
         if (chosen.isEmpty()) {
-            return Attempt.NO_TARGET;
+            return DispatchResult.NO_TARGET;
         }
         Candidate candidate = chosen.get();
-        candidate.sent(nowMillis);
+        candidate.recordDispatch(nowMillis);
         connect(candidate, front.coordination().placedHere(service, candidate), nowMillis);
-        return Attempt.SENT;
+        return DispatchResult.SENT;
     }
 
     @Override
-    public void refuse(long nowMillis) {
+    public void reject(long nowMillis) {
         refuseUnplaced(front.lines().comeBackMillis(service), Optional.empty());
     }
 
-    private void refuseUnplaced(long comeBackMillis, Optional<RefusalGrounds> grounds) {
+    private void refuseUnplaced(long comeBackMillis, Optional<RejectionDetails> grounds) {
         ErrorKind kind = tried.isEmpty() ? ErrorKind.SHED : ErrorKind.TARGET_REFUSED;
         refuse(new ErrorResponse(perhapsRun() ? ErrorKind.TARGET_LOST : kind, comeBackMillis, grounds));
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
@@ -15,11 +15,11 @@
 import org.whinwharf.runtime.log.EventLog;
 import org.whinwharf.runtime.log.LogEvent;
 import org.whinwharf.time.Ticker;
-import org.whinwharf.traffic.coordination.Ask;
 import org.whinwharf.traffic.coordination.Coordinator;
 import org.whinwharf.traffic.coordination.CoordinatorRanking;
-import org.whinwharf.traffic.coordination.Outbox;
-import org.whinwharf.traffic.coordination.RefusalGrounds;
+import org.whinwharf.traffic.coordination.DecisionListener;
+import org.whinwharf.traffic.coordination.PlacementRequest;
+import org.whinwharf.traffic.coordination.RejectionDetails;
 import org.whinwharf.traffic.coordination.RunningRequests;
 import org.whinwharf.traffic.member.Member;
 import org.whinwharf.traffic.member.MemberTable;
@@ -92,7 +92,7 @@
             Targets targets,
             PeerDatagrams datagrams,
             Ticker ticker,
-            Function<Outbox, Coordinator> coordinators,
+            Function<DecisionListener, Coordinator> coordinators,
             Predicate<String> covered) {
         this.settings = settings;
         this.members = members;
@@ -135,7 +135,7 @@
 
     /** Tells whether a request of this process, or one of another here, has no target yet. */
     boolean someWait() {
-        if (coordinator.waiting() > 0) {
+        if (coordinator.queuedRequests() > 0) {
             return true;
         }
         for (PlacementTicket ticket : tickets.values()) {
@@ -148,7 +148,7 @@
 
     /** Returns how many requests of all processes wait here. */
     int waiting() {
-        return coordinator.waiting();
+        return coordinator.queuedRequests();
     }
 
     /** Asks for a target. */
@@ -248,7 +248,7 @@
             return;
         }
         if (name.equals(settings.name())) {
-            coordinator.progress(name, id, event, tookMillis, ticker.nowMillis());
+            coordinator.reportProgress(name, id, event, tookMillis, ticker.nowMillis());
             return;
         }
         RunProgress progress = RunProgress.newBuilder()
@@ -320,7 +320,7 @@
             datagram.getAsksList().forEach(ask -> asked(from, ask, nowMillis));
         }
         datagram.getProgressList()
-                .forEach(progress -> coordinator.progress(
+                .forEach(progress -> coordinator.reportProgress(
                         from, progress.getId(), progress.getEvent(), progress.getTookMillis(), nowMillis));
         datagram.getRunsList().forEach(list -> underWay(from, list));
         datagram.getRepliesList().forEach(reply -> replied(from, fromIp, reply));
@@ -331,7 +331,7 @@
         list.getRunsList()
                 .forEach(
                         run -> runs.put(run.getId(), new RunningRequests.Run(run.getTarget(), run.getPrefillTokens())));
-        coordinator.underWay(from, list.getService(), runs, ticker.nowMillis());
+        coordinator.reportInFlight(from, list.getService(), runs, ticker.nowMillis());
     }
 
     private void replied(String from, String fromIp, PlacementReply reply) {
@@ -387,32 +387,32 @@
     }
 
     private void asked(String from, PlacementAsk ask, long nowMillis) {
-        coordinator.ask(PlacementMessages.ask(from, ask, nowMillis), nowMillis);
+        coordinator.requestPlacement(PlacementMessages.ask(from, ask, nowMillis), nowMillis);
     }
 
     /** Sends the own coordinator's decisions to those who asked. */
-    private final class Replies implements Outbox {
+    private final class Replies implements DecisionListener {
         @Override
-        public void granted(Ask ask, Candidate candidate) {
+        public void granted(PlacementRequest ask, Candidate candidate) {
             reply(ask, PlacementMessages.granted(ask, candidate));
         }
 
         @Override
-        public void waiting(Ask ask) {
+        public void queued(PlacementRequest ask) {
             reply(ask, PlacementMessages.waiting(ask));
         }
 
         @Override
-        public void shed(Ask ask, RefusalGrounds grounds) {
+        public void shed(PlacementRequest ask, RejectionDetails grounds) {
             reply(ask, PlacementMessages.refused(ask, PlacementOutcome.PLACEMENT_SHED, grounds));
         }
 
         @Override
-        public void overQuota(Ask ask, RefusalGrounds grounds) {
+        public void overQuota(PlacementRequest ask, RejectionDetails grounds) {
             reply(ask, PlacementMessages.refused(ask, PlacementOutcome.PLACEMENT_OVER_QUOTA, grounds));
         }
 
-        private void reply(Ask ask, PlacementReply reply) {
+        private void reply(PlacementRequest ask, PlacementReply reply) {
             if (ask.requester().equals(settings.name())) {
                 replied(settings.name(), settings.ip(), reply);
                 return;
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ErrorResponse.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ErrorResponse.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import org.whinwharf.errors.ErrorKind;
-import org.whinwharf.traffic.coordination.RefusalGrounds;
+import org.whinwharf.traffic.coordination.RejectionDetails;
 
 /**
  * A failure that a caller is told.
@@ -11,7 +11,7 @@
  * @param retryAfterMillis when to come back, in milliseconds; 0 for no advice
  * @param grounds what a coordinator based it on; empty when none decided
  */
-record ErrorResponse(ErrorKind kind, long retryAfterMillis, Optional<RefusalGrounds> grounds) {
+record ErrorResponse(ErrorKind kind, long retryAfterMillis, Optional<RejectionDetails> grounds) {
     ErrorResponse(ErrorKind kind, long comeBackMillis) {
         this(kind, comeBackMillis, Optional.empty());
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
@@ -24,15 +24,15 @@
 import org.whinwharf.traffic.catalog.Catalog;
 import org.whinwharf.traffic.catalog.TargetService;
 import org.whinwharf.traffic.coordination.Coordinator;
-import org.whinwharf.traffic.coordination.ImmutableCoordinatorParts;
-import org.whinwharf.traffic.coordination.Outbox;
+import org.whinwharf.traffic.coordination.DecisionListener;
+import org.whinwharf.traffic.coordination.ImmutableCoordinatorDependencies;
 import org.whinwharf.traffic.items.ItemMirror;
 import org.whinwharf.traffic.member.MemberTable;
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.traffic.placement.ColdShares;
 import org.whinwharf.traffic.placement.Demand;
-import org.whinwharf.traffic.placement.Placement;
 import org.whinwharf.traffic.placement.RendezvousColdShares;
+import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.quota.QuotaLedger;
 import org.whinwharf.traffic.retry.RetryBudget;
 import org.whinwharf.traffic.target.PromptCache;
@@ -80,7 +80,7 @@
     private final Targets targets;
     private final PromptCache prompts = new PromptCache();
     private final ColdShares coldShares;
-    private final Placement placement;
+    private final TargetSelector placement;
     private final QuotaLedger quotas;
     private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
     private final OwnLines lines;
@@ -121,7 +121,7 @@
         targets = new Targets(loop, dialect, ticker, () -> catalog, metrics);
         lines = new OwnLines(loop, ticker, random::nextDouble, settings.policy());
         coldShares = new RendezvousColdShares(settings.name(), this::servingNames, this::coldRate);
-        placement = new Placement(
+        placement = new TargetSelector(
                 prompts,
                 this::ownColdShare,
                 () -> members.large() ? random.nextDouble() * BLIND_SPREAD : 0,
@@ -421,18 +421,18 @@
         return coordinated(target.service()) ? 0 : coldShares.allowance(target);
     }
 
-    private Coordinator coordinator(Outbox decisions) {
-        Placement common = new Placement(prompts, this::coordinatorColdShare, () -> 0, settings.policy());
-        return new Coordinator(ImmutableCoordinatorParts.builder()
-                .ownName(settings.name())
-                .placement(common)
-                .prompts(prompts)
+    private Coordinator coordinator(DecisionListener decisions) {
+        TargetSelector common = new TargetSelector(prompts, this::coordinatorColdShare, () -> 0, settings.policy());
+        return new Coordinator(ImmutableCoordinatorDependencies.builder()
+                .localName(settings.name())
+                .targetSelector(common)
+                .promptCache(prompts)
                 .targets(targets::ofService)
-                .evacuated(targets::evacuated)
+                .evacuatedDataCentres(targets::evacuated)
                 .quotas(quotas)
-                .outbox(decisions)
-                .reports(targets)
-                .loads(targets::underWay)
+                .decisionListener(decisions)
+                .targetOutcomeListener(targets)
+                .loadListener(targets::underWay)
                 .random(random::nextDouble)
                 .policy(settings.policy())
                 .build());
@@ -508,7 +508,7 @@
     }
 
     Optional<Candidate> choose(Demand demand, long nowMillis) {
-        return placement.choose(demand, targets.ofService(demand.service()), targets.evacuated(), nowMillis);
+        return placement.select(demand, targets.ofService(demand.service()), targets.evacuated(), nowMillis);
     }
 
     /** Tells whether a target that was chosen a moment ago may still get a request. */
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
@@ -5,7 +5,7 @@
 import org.whinwharf.runtime.log.EventLog;
 import org.whinwharf.runtime.log.LogEvent;
 import org.whinwharf.traffic.catalog.Organisation;
-import org.whinwharf.traffic.coordination.RefusalGrounds;
+import org.whinwharf.traffic.coordination.RejectionDetails;
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.traffic.target.Target;
 
@@ -89,15 +89,15 @@
     }
 
     /** Adds what the coordinator knew when it decided; its news of the line is its own and has no age. */
-    private static void addGrounds(EventLog line, CallerExchange exchange, RefusalGrounds grounds) {
+    private static void addGrounds(EventLog line, CallerExchange exchange, RejectionDetails grounds) {
         line.with(EventField.PEER, exchange.coordinatorName());
         if (grounds.quotaLevelTokens() != 0) {
             line.with(EventField.QUOTA_LEVEL, grounds.quotaLevelTokens());
             return;
         }
-        line.with(EventField.AHEAD, grounds.ahead())
-                .with(EventField.PREDICTED_MILLIS, grounds.predictedMillis())
-                .with(EventField.STANDING_MILLIS, grounds.standingMillis());
+        line.with(EventField.AHEAD, grounds.queuedAhead())
+                .with(EventField.PREDICTED_MILLIS, grounds.estimatedWaitMillis())
+                .with(EventField.STANDING_MILLIS, grounds.backlogAgeMillis());
     }
 
     static void repeated(CallerExchange exchange, Target target, String reason) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontSettings.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontSettings.java
@@ -108,7 +108,7 @@
      */
     @Value.Default
     default Policy policy() {
-        return Policy.WHOLE;
+        return Policy.ALL_ENABLED;
     }
 
     /**
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/OwnLines.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/OwnLines.java
@@ -8,8 +8,8 @@
 import java.util.function.DoubleSupplier;
 import org.whinwharf.time.Ticker;
 import org.whinwharf.traffic.policy.Policy;
-import org.whinwharf.traffic.waiting.Patience;
-import org.whinwharf.traffic.waiting.WaitingLine;
+import org.whinwharf.traffic.waiting.QueueTimeouts;
+import org.whinwharf.traffic.waiting.RequestQueue;
 
 /** Requests that wait in this process, one line for each service; those that a coordinator places wait there. */
 final class OwnLines {
@@ -20,7 +20,7 @@
     private final Ticker ticker;
     private final DoubleSupplier random;
     private final Policy policy;
-    private final Map<String, WaitingLine> lines = new HashMap<>();
+    private final Map<String, RequestQueue> lines = new HashMap<>();
     private final Set<String> freedServices = new HashSet<>();
 
     OwnLines(EventLoopGroup loop, Ticker ticker, DoubleSupplier random, Policy policy) {
@@ -30,13 +30,13 @@
         this.policy = policy;
     }
 
-    WaitingLine of(String service) {
-        return lines.computeIfAbsent(service, name -> new WaitingLine(MOST_WAITING, policy));
+    RequestQueue of(String service) {
+        return lines.computeIfAbsent(service, name -> new RequestQueue(MOST_WAITING, policy));
     }
 
     /** Returns how many requests wait. */
     int size() {
-        return lines.values().stream().mapToInt(WaitingLine::size).sum();
+        return lines.values().stream().mapToInt(RequestQueue::size).sum();
     }
 
     /** Sends and refuses what waits. */
@@ -56,6 +56,6 @@
 
     /** Returns when a refused caller should come back. */
     long comeBackMillis(String service) {
-        return Patience.comeBackMillis(of(service).standingMillis(ticker.nowMillis()), random.getAsDouble());
+        return QueueTimeouts.retryAfterMillis(of(service).backlogAgeMillis(ticker.nowMillis()), random.getAsDouble());
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementListener.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementListener.java
@@ -1,6 +1,6 @@
 package org.whinwharf.front;
 
-import org.whinwharf.traffic.coordination.RefusalGrounds;
+import org.whinwharf.traffic.coordination.RejectionDetails;
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.wire.fleet.PlacementAsk;
 
@@ -16,10 +16,10 @@
     void granted(Candidate candidate);
 
     /** Takes that no target was found in time. */
-    void shed(RefusalGrounds grounds);
+    void shed(RejectionDetails grounds);
 
     /** Takes that the organisation's quota is used up. */
-    void overQuota(RefusalGrounds grounds);
+    void overQuota(RejectionDetails grounds);
 
     /** Takes that no coordinator answers: this process has to choose on its own. */
     void noCoordinator();
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementMessages.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementMessages.java
@@ -1,9 +1,9 @@
 package org.whinwharf.front;
 
 import java.util.Optional;
-import org.whinwharf.traffic.coordination.Ask;
-import org.whinwharf.traffic.coordination.ImmutableAsk;
-import org.whinwharf.traffic.coordination.RefusalGrounds;
+import org.whinwharf.traffic.coordination.ImmutablePlacementRequest;
+import org.whinwharf.traffic.coordination.PlacementRequest;
+import org.whinwharf.traffic.coordination.RejectionDetails;
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.traffic.placement.Demand;
 import org.whinwharf.traffic.placement.ImmutableDemand;
@@ -30,44 +30,44 @@
                 .setService(demand.service())
                 .setModel(demand.model())
                 .setPromptTokens((int) demand.promptTokens())
-                .setAnswerTokens((int) demand.answerTokens())
+                .setAnswerTokens((int) demand.maxAnswerTokens())
                 .setTierRank(demand.tierRank())
                 .setRemainingMillis((int) Math.max(0, demand.remainingMillis()))
                 .setPatienceMillis((int) Math.max(0, patienceMillis))
                 .setOnTimeMillis((int) Math.max(0, onTimeMillis))
-                .addAllTriedTargets(demand.tried())
+                .addAllTriedTargets(demand.triedTargets())
                 .setDataCentre(demand.dataCentre());
         organisation.ifPresent(name -> ask.setOrganisation(name).setQuotaTokens(quotaTokens));
-        demand.parts()
+        demand.promptParts()
                 .forEach(part ->
                         ask.addParts(PlacementPart.newBuilder().setId(part.id()).setTokens((int) part.tokens())));
         return ask.build();
     }
 
-    static Ask ask(String from, PlacementAsk ask, long nowMillis) {
+    static PlacementRequest ask(String from, PlacementAsk ask, long nowMillis) {
         ImmutableDemand.Builder demand = ImmutableDemand.builder()
                 .service(ask.getService())
                 .model(ask.getModel())
                 .promptTokens(ask.getPromptTokens())
-                .answerTokens(ask.getAnswerTokens())
+                .maxAnswerTokens(ask.getAnswerTokens())
                 .tierRank(ask.getTierRank())
                 .remainingMillis(ask.getRemainingMillis())
                 .dataCentre(ask.getDataCentre())
-                .tried(ask.getTriedTargetsList());
-        ask.getPartsList().forEach(part -> demand.addParts(new PromptPart(part.getId(), part.getTokens())));
-        return ImmutableAsk.builder()
+                .triedTargets(ask.getTriedTargetsList());
+        ask.getPartsList().forEach(part -> demand.addPromptParts(new PromptPart(part.getId(), part.getTokens())));
+        return ImmutablePlacementRequest.builder()
                 .requester(from)
                 .id(ask.getId())
                 .demand(demand.build())
                 .deadlineAtMillis(nowMillis + ask.getRemainingMillis())
-                .patienceUntilMillis(nowMillis + ask.getPatienceMillis())
+                .queueTimeoutAtMillis(nowMillis + ask.getPatienceMillis())
                 .onTimeUntilMillis(nowMillis + ask.getOnTimeMillis())
                 .organisation(Optional.of(ask.getOrganisation()).filter(name -> !name.isEmpty()))
                 .quotaTokens(ask.getQuotaTokens())
                 .build();
     }
 
-    static PlacementReply granted(Ask ask, Candidate candidate) {
+    static PlacementReply granted(PlacementRequest ask, Candidate candidate) {
         return PlacementReply.newBuilder()
                 .setId(ask.id())
                 .setOutcome(PlacementOutcome.PLACEMENT_GRANTED)
@@ -80,27 +80,27 @@
                 .build();
     }
 
-    static PlacementReply waiting(Ask ask) {
+    static PlacementReply waiting(PlacementRequest ask) {
         return PlacementReply.newBuilder()
                 .setId(ask.id())
                 .setOutcome(PlacementOutcome.PLACEMENT_WAITING)
                 .build();
     }
 
-    static PlacementReply refused(Ask ask, PlacementOutcome outcome, RefusalGrounds grounds) {
+    static PlacementReply refused(PlacementRequest ask, PlacementOutcome outcome, RejectionDetails grounds) {
         return PlacementReply.newBuilder()
                 .setId(ask.id())
                 .setOutcome(outcome)
-                .setComeBackMillis((int) grounds.comeBackMillis())
-                .setAhead(grounds.ahead())
-                .setPredictedWaitMillis((int) grounds.predictedMillis())
-                .setStandingMillis((int) grounds.standingMillis())
+                .setComeBackMillis((int) grounds.retryAfterMillis())
+                .setAhead(grounds.queuedAhead())
+                .setPredictedWaitMillis((int) grounds.estimatedWaitMillis())
+                .setStandingMillis((int) grounds.backlogAgeMillis())
                 .setQuotaLevelTokens(grounds.quotaLevelTokens())
                 .build();
     }
 
-    static RefusalGrounds grounds(PlacementReply reply) {
-        return new RefusalGrounds(
+    static RejectionDetails grounds(PlacementReply reply) {
+        return new RejectionDetails(
                 reply.getComeBackMillis(),
                 reply.getAhead(),
                 reply.getPredictedWaitMillis(),
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Targets.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Targets.java
@@ -19,12 +19,12 @@
 import org.whinwharf.traffic.catalog.Catalog;
 import org.whinwharf.traffic.catalog.TargetService;
 import org.whinwharf.traffic.coordination.RunningRequests;
-import org.whinwharf.traffic.coordination.TargetReports;
+import org.whinwharf.traffic.coordination.TargetOutcomeListener;
 import org.whinwharf.traffic.target.Target;
 import org.whinwharf.traffic.target.TargetState;
 
 /** All targets that this process knows, with their connections and health. */
-final class Targets implements TargetReports {
+final class Targets implements TargetOutcomeListener {
     /** Extra time a target counts as cold after it said it would be warm: its word may be a heartbeat old. */
     private static final long COLD_MARGIN_MILLIS = 300;
     /** Share of a service's targets that errors alone may take out of use. */
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CommonPlacementLoadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CommonPlacementLoadTest.java
@@ -12,12 +12,12 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.whinwharf.traffic.coordination.Ask;
 import org.whinwharf.traffic.coordination.Coordinator;
-import org.whinwharf.traffic.coordination.ImmutableAsk;
-import org.whinwharf.traffic.coordination.ImmutableCoordinatorParts;
+import org.whinwharf.traffic.coordination.ImmutableCoordinatorDependencies;
+import org.whinwharf.traffic.coordination.ImmutablePlacementRequest;
+import org.whinwharf.traffic.coordination.PlacementRequest;
 import org.whinwharf.traffic.placement.Candidate;
-import org.whinwharf.traffic.placement.Placement;
+import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.quota.QuotaLedger;
 import org.whinwharf.traffic.target.PromptCache;
 import org.whinwharf.traffic.target.TargetState;
@@ -65,34 +65,34 @@
         Map<String, TargetState> targets = engines();
         PromptCache prompts = new PromptCache();
         Sender sender = new Sender();
-        Coordinator coordinator = new Coordinator(ImmutableCoordinatorParts.builder()
-                .ownName("front-0")
-                .placement(new Placement(prompts, target -> 0, () -> 0))
-                .prompts(prompts)
+        Coordinator coordinator = new Coordinator(ImmutableCoordinatorDependencies.builder()
+                .localName("front-0")
+                .targetSelector(new TargetSelector(prompts, target -> 0, () -> 0))
+                .promptCache(prompts)
                 .targets(service -> targets.values())
-                .evacuated(Set::of)
+                .evacuatedDataCentres(Set::of)
                 .quotas(new QuotaLedger(true))
-                .outbox(sender)
-                .reports(sender)
-                .loads((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
+                .decisionListener(sender)
+                .targetOutcomeListener(sender)
+                .loadListener((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
                 .build());
         sender.coordinator = coordinator;
-        arrivals((request, nowMillis) -> coordinator.ask(ask(request, nowMillis), nowMillis));
+        arrivals((request, nowMillis) -> coordinator.requestPlacement(ask(request, nowMillis), nowMillis));
         return sentToFull / (double) sent;
     }
 
     private double shareSentToFullByFrontsAlone() {
         Map<Integer, Map<String, TargetState>> views = new HashMap<>();
-        Map<Integer, Placement> placements = new HashMap<>();
+        Map<Integer, TargetSelector> placements = new HashMap<>();
         for (int front = 0; front < FRONTS; front++) {
             views.put(front, engines());
-            placements.put(front, new Placement(new PromptCache(), target -> 0, () -> random.nextDouble() * 0.5));
+            placements.put(front, new TargetSelector(new PromptCache(), target -> 0, () -> random.nextDouble() * 0.5));
         }
         arrivals((request, nowMillis) -> {
             int front = request % FRONTS;
             Optional<Candidate> chosen = placements
                     .get(front)
-                    .choose(
+                    .select(
                             Fixtures.demand(0, 600, "s" + request),
                             views.get(front).values(),
                             Set.of(),
@@ -148,13 +148,13 @@
         return engines;
     }
 
-    private static Ask ask(int request, long nowMillis) {
-        return ImmutableAsk.builder()
+    private static PlacementRequest ask(int request, long nowMillis) {
+        return ImmutablePlacementRequest.builder()
                 .requester("front-" + request % FRONTS)
                 .id(request)
                 .demand(Fixtures.demand(0, 600, "s" + request))
                 .deadlineAtMillis(nowMillis + 10_000)
-                .patienceUntilMillis(nowMillis + 600)
+                .queueTimeoutAtMillis(nowMillis + 600)
                 .onTimeUntilMillis(nowMillis + 300)
                 .build();
     }
@@ -163,12 +163,12 @@
         private Coordinator coordinator;
 
         @Override
-        public void granted(Ask ask, Candidate candidate) {
+        public void granted(PlacementRequest ask, Candidate candidate) {
             long nowMillis = ask.deadlineAtMillis() - 10_000;
             run(
                     candidate.state().target().id(),
                     nowMillis,
-                    () -> coordinator.progress(ask.requester(), ask.id(), RunEvent.RUN_ANSWERED, 0, nowMillis));
+                    () -> coordinator.reportProgress(ask.requester(), ask.id(), RunEvent.RUN_ANSWERED, 0, nowMillis));
         }
     }
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatedFleet.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatedFleet.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import org.whinwharf.traffic.coordination.Ask;
 import org.whinwharf.traffic.coordination.Coordinator;
-import org.whinwharf.traffic.coordination.ImmutableCoordinatorParts;
-import org.whinwharf.traffic.coordination.RefusalGrounds;
+import org.whinwharf.traffic.coordination.ImmutableCoordinatorDependencies;
+import org.whinwharf.traffic.coordination.PlacementRequest;
+import org.whinwharf.traffic.coordination.RejectionDetails;
 import org.whinwharf.traffic.coordination.RunningRequests;
 import org.whinwharf.traffic.placement.Candidate;
-import org.whinwharf.traffic.placement.Placement;
+import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.quota.QuotaLedger;
 import org.whinwharf.traffic.target.PromptCache;
 import org.whinwharf.traffic.target.TargetState;
@@ -42,16 +42,16 @@
             targets.put("engine-" + i, new TargetState(Fixtures.target("engine-" + i, slots)));
         }
         PromptCache prompts = new PromptCache();
-        coordinator = new Coordinator(ImmutableCoordinatorParts.builder()
-                .ownName("front-0")
-                .placement(new Placement(prompts, target -> 0, () -> 0))
-                .prompts(prompts)
+        coordinator = new Coordinator(ImmutableCoordinatorDependencies.builder()
+                .localName("front-0")
+                .targetSelector(new TargetSelector(prompts, target -> 0, () -> 0))
+                .promptCache(prompts)
                 .targets(service -> targets.values())
-                .evacuated(Set::of)
+                .evacuatedDataCentres(Set::of)
                 .quotas(new QuotaLedger(true))
-                .outbox(this)
-                .reports(this)
-                .loads((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
+                .decisionListener(this)
+                .targetOutcomeListener(this)
+                .loadListener((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
                 .build());
     }
 
@@ -59,13 +59,13 @@
     void advance(long toMillis) {
         nowMillis = toMillis;
         while (!ends.isEmpty() && ends.peek().atMillis() <= nowMillis) {
-            coordinator.progress(FRONT, ends.poll().id(), RunEvent.RUN_ANSWERED, 0, nowMillis);
+            coordinator.reportProgress(FRONT, ends.poll().id(), RunEvent.RUN_ANSWERED, 0, nowMillis);
         }
         if (nowMillis % TICK_MILLIS == 0) {
             coordinator.advance(nowMillis);
         }
         if (nowMillis % LIST_MILLIS == LIST_MILLIS - 1) {
-            coordinator.underWay(FRONT, "summaries", underWay(), nowMillis);
+            coordinator.reportInFlight(FRONT, "summaries", underWay(), nowMillis);
         }
     }
 
@@ -76,9 +76,9 @@
     }
 
     /** Asks for a target; the request will hold its slot for the given time. */
-    void ask(Ask ask, long slotMillis) {
+    void ask(PlacementRequest ask, long slotMillis) {
         holdMillis.put(ask.id(), slotMillis);
-        coordinator.ask(ask, nowMillis);
+        coordinator.requestPlacement(ask, nowMillis);
     }
 
     long nowMillis() {
@@ -96,14 +96,14 @@
     }
 
     @Override
-    public void granted(Ask ask, Candidate candidate) {
+    public void granted(PlacementRequest ask, Candidate candidate) {
         grantedAtMillis.put(ask.id(), nowMillis);
         engineOf.put(ask.id(), candidate.state().target().id());
         ends.add(new End(nowMillis + holdMillis.get(ask.id()), ask.id()));
     }
 
     @Override
-    public void shed(Ask ask, RefusalGrounds grounds) {
+    public void shed(PlacementRequest ask, RejectionDetails grounds) {
         refusedAtMillis.put(ask.id(), nowMillis);
     }
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorTest.java
@@ -15,16 +15,16 @@
 import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.whinwharf.traffic.coordination.Ask;
 import org.whinwharf.traffic.coordination.Coordinator;
-import org.whinwharf.traffic.coordination.ImmutableAsk;
-import org.whinwharf.traffic.coordination.ImmutableCoordinatorParts;
-import org.whinwharf.traffic.coordination.Outbox;
-import org.whinwharf.traffic.coordination.RefusalGrounds;
+import org.whinwharf.traffic.coordination.DecisionListener;
+import org.whinwharf.traffic.coordination.ImmutableCoordinatorDependencies;
+import org.whinwharf.traffic.coordination.ImmutablePlacementRequest;
+import org.whinwharf.traffic.coordination.PlacementRequest;
+import org.whinwharf.traffic.coordination.RejectionDetails;
 import org.whinwharf.traffic.coordination.RunningRequests;
-import org.whinwharf.traffic.coordination.TargetReports;
+import org.whinwharf.traffic.coordination.TargetOutcomeListener;
 import org.whinwharf.traffic.placement.Candidate;
-import org.whinwharf.traffic.placement.Placement;
+import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.quota.QuotaLedger;
 import org.whinwharf.traffic.target.PromptCache;
 import org.whinwharf.traffic.target.TargetState;
@@ -43,16 +43,16 @@
 
     private Coordinator coordinator() {
         PromptCache prompts = new PromptCache();
-        return new Coordinator(ImmutableCoordinatorParts.builder()
-                .ownName("front-0")
-                .placement(new Placement(prompts, target -> 1, () -> 0))
-                .prompts(prompts)
+        return new Coordinator(ImmutableCoordinatorDependencies.builder()
+                .localName("front-0")
+                .targetSelector(new TargetSelector(prompts, target -> 1, () -> 0))
+                .promptCache(prompts)
                 .targets(service -> targets.values())
-                .evacuated(Set::of)
+                .evacuatedDataCentres(Set::of)
                 .quotas(quotas)
-                .outbox(new Decisions())
-                .reports(new Reports())
-                .loads((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
+                .decisionListener(new Decisions())
+                .targetOutcomeListener(new Reports())
+                .loadListener((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
                 .build());
     }
 
@@ -63,12 +63,12 @@
     @Test
     void oneLineOrdersTheRequestsOfAllProcesses() {
         engine("engine", 1);
-        coordinator.ask(ask("front-1", 1, 2, 0), 0);
-        coordinator.ask(ask("front-1", 2, 2, 0), 0);
-        coordinator.ask(ask("front-2", 1, 0, 0), 10);
+        coordinator.requestPlacement(ask("front-1", 1, 2, 0), 0);
+        coordinator.requestPlacement(ask("front-1", 2, 2, 0), 0);
+        coordinator.requestPlacement(ask("front-2", 1, 0, 0), 10);
         assertThat(granted, contains("front-1/1@engine"));
         assertThat(waiting, contains("front-1/2", "front-2/1"));
-        coordinator.progress("front-1", 1, RunEvent.RUN_ANSWERED, 0, 20);
+        coordinator.reportProgress("front-1", 1, RunEvent.RUN_ANSWERED, 0, 20);
         assertThat(granted, contains("front-1/1@engine", "front-2/1@engine"));
     }
 
@@ -80,8 +80,8 @@
     void sameAskAgainGetsTheSameGrant() {
         engine("one", 4);
         engine("two", 4);
-        coordinator.ask(ask("front-1", 1, 0, 0), 0);
-        coordinator.ask(ask("front-1", 1, 0, 40), 40);
+        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(ask("front-1", 1, 0, 40), 40);
         assertThat(granted, hasSize(2));
         assertThat(granted.get(1), is(granted.get(0)));
         assertThat(running(), is(1));
@@ -94,9 +94,9 @@
     @Test
     void listOfWhatIsUnderWayFreesWhatEndedUnheard() {
         engine("engine", 1);
-        coordinator.ask(ask("front-1", 1, 0, 0), 0);
-        coordinator.ask(ask("front-2", 1, 0, 0), 0);
-        coordinator.underWay("front-1", SERVICE, Map.of(), 500);
+        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(ask("front-2", 1, 0, 0), 0);
+        coordinator.reportInFlight("front-1", SERVICE, Map.of(), 500);
         coordinator.advance(500);
         assertThat(granted, contains("front-1/1@engine", "front-2/1@engine"));
     }
@@ -105,8 +105,8 @@
     @Test
     void listThatCrossesAGrantLeavesItsSlotTaken() {
         engine("engine", 2);
-        coordinator.ask(ask("front-1", 1, 0, 0), 0);
-        coordinator.underWay("front-1", SERVICE, Map.of(), 100);
+        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
+        coordinator.reportInFlight("front-1", SERVICE, Map.of(), 100);
         assertThat(running(), is(1));
     }
 
@@ -114,7 +114,7 @@
     @Test
     void requestsOfASilentProcessAreDropped() {
         engine("engine", 1);
-        coordinator.ask(ask("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
         coordinator.advance(3_000);
         assertThat(running(), is(1));
         coordinator.advance(4_000);
@@ -129,8 +129,8 @@
     void newCoordinatorCountsWhatOthersHaveUnderWay() {
         engine("engine", 2);
         RunningRequests.Run run = new RunningRequests.Run("engine", 0);
-        coordinator.underWay("front-1", SERVICE, Map.of(7L, run, 8L, run), 0);
-        coordinator.ask(ask("front-2", 1, 1, 0), 10);
+        coordinator.reportInFlight("front-1", SERVICE, Map.of(7L, run, 8L, run), 0);
+        coordinator.requestPlacement(ask("front-2", 1, 1, 0), 10);
         assertThat(granted, empty());
         assertThat(waiting, contains("front-2/1"));
     }
@@ -139,14 +139,14 @@
     void endOfPatienceRefusesAndGivesTheQuotaBack() {
         quotas.update(Fixtures.catalog(1, 1, 1_000), 0);
         engine("engine", 1);
-        coordinator.ask(ask("front-1", 1, 0, 0), 0);
-        coordinator.ask(withQuota(ask("front-1", 2, 0, 0), 1_000), 0);
-        coordinator.ask(withQuota(ask("front-1", 3, 0, 0), 1_000), 0);
+        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(withQuota(ask("front-1", 2, 0, 0), 1_000), 0);
+        coordinator.requestPlacement(withQuota(ask("front-1", 3, 0, 0), 1_000), 0);
         assertThat(refused, contains("front-1/3 over quota"));
         coordinator.advance(1_000);
         assertThat(refused, contains("front-1/3 over quota", "front-1/2 shed"));
-        coordinator.progress("front-1", 1, RunEvent.RUN_ANSWERED, 0, 1_000);
-        coordinator.ask(withQuota(ask("front-1", 4, 0, 1_000), 1_000), 1_000);
+        coordinator.reportProgress("front-1", 1, RunEvent.RUN_ANSWERED, 0, 1_000);
+        coordinator.requestPlacement(withQuota(ask("front-1", 4, 0, 1_000), 1_000), 1_000);
         assertThat(granted, contains("front-1/1@engine", "front-1/4@engine"));
     }
 
@@ -159,15 +159,15 @@
         engine("engine", 1);
         long nowMillis = 0;
         for (long id = 1; id <= 5; id++) {
-            coordinator.ask(ask("front-1", id, 2, nowMillis), nowMillis);
+            coordinator.requestPlacement(ask("front-1", id, 2, nowMillis), nowMillis);
             nowMillis += 200;
-            coordinator.progress("front-1", id, RunEvent.RUN_ANSWERED, 0, nowMillis);
+            coordinator.reportProgress("front-1", id, RunEvent.RUN_ANSWERED, 0, nowMillis);
         }
         for (long id = 10; id < 30; id++) {
-            coordinator.ask(ask("front-1", id, 2, nowMillis), nowMillis);
+            coordinator.requestPlacement(ask("front-1", id, 2, nowMillis), nowMillis);
         }
         assertThat(refused, hasItem("front-1/29 shed"));
-        coordinator.ask(ask("front-2", 1, 0, nowMillis), nowMillis);
+        coordinator.requestPlacement(ask("front-2", 1, 0, nowMillis), nowMillis);
         assertThat(waiting, hasItem("front-2/1"));
     }
 
@@ -175,23 +175,23 @@
     @Test
     void requestGivenUpLeavesTheLine() {
         engine("engine", 1);
-        coordinator.ask(ask("front-1", 1, 0, 0), 0);
-        coordinator.ask(ask("front-1", 2, 0, 0), 0);
-        coordinator.ask(ask("front-2", 3, 0, 0), 0);
-        coordinator.progress("front-1", 2, RunEvent.RUN_GIVEN_UP, 0, 5);
-        coordinator.progress("front-1", 1, RunEvent.RUN_ANSWERED, 0, 10);
+        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(ask("front-1", 2, 0, 0), 0);
+        coordinator.requestPlacement(ask("front-2", 3, 0, 0), 0);
+        coordinator.reportProgress("front-1", 2, RunEvent.RUN_GIVEN_UP, 0, 5);
+        coordinator.reportProgress("front-1", 1, RunEvent.RUN_ANSWERED, 0, 10);
         assertThat(granted, contains("front-1/1@engine", "front-2/3@engine"));
     }
 
     @Test
     void whatOthersSawOfATargetReachesItsHealthButNotWhatThisProcessSaw() {
         engine("engine", 4);
-        coordinator.ask(ask("front-0", 1, 0, 0), 0);
-        coordinator.ask(ask("front-1", 1, 0, 0), 0);
-        coordinator.ask(ask("front-1", 2, 0, 0), 0);
-        coordinator.progress("front-0", 1, RunEvent.RUN_BROKEN, 0, 5);
-        coordinator.progress("front-1", 1, RunEvent.RUN_SILENT, 0, 5);
-        coordinator.progress("front-1", 2, RunEvent.RUN_ERRED, 0, 5);
+        coordinator.requestPlacement(ask("front-0", 1, 0, 0), 0);
+        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(ask("front-1", 2, 0, 0), 0);
+        coordinator.reportProgress("front-0", 1, RunEvent.RUN_BROKEN, 0, 5);
+        coordinator.reportProgress("front-1", 1, RunEvent.RUN_SILENT, 0, 5);
+        coordinator.reportProgress("front-1", 2, RunEvent.RUN_ERRED, 0, 5);
         assertThat(reports, containsInAnyOrder("engine failed true", "engine erred"));
     }
 
@@ -203,10 +203,10 @@
     @Test
     void engineThatSpeaksWithOthersIsNotEjectedForOneSilence() {
         engine("engine", 4);
-        coordinator.ask(ask("front-1", 1, 0, 0), 0);
-        coordinator.ask(ask("front-2", 1, 0, 0), 0);
-        coordinator.progress("front-2", 1, RunEvent.RUN_FIRST_EVENT, 1_500, 1_500);
-        coordinator.progress("front-1", 1, RunEvent.RUN_STALLED, 0, 2_000);
+        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(ask("front-2", 1, 0, 0), 0);
+        coordinator.reportProgress("front-2", 1, RunEvent.RUN_FIRST_EVENT, 1_500, 1_500);
+        coordinator.reportProgress("front-1", 1, RunEvent.RUN_STALLED, 0, 2_000);
         assertThat(reports, contains("engine erred"));
         assertThat(running(), is(2));
     }
@@ -217,10 +217,10 @@
     @Test
     void engineThatIsSilentToAllIsEjectedAtTheFirstWord() {
         engine("engine", 4);
-        coordinator.ask(ask("front-1", 1, 0, 0), 0);
-        coordinator.ask(ask("front-2", 1, 0, 0), 0);
-        coordinator.progress("front-2", 1, RunEvent.RUN_FIRST_EVENT, 100, 100);
-        coordinator.progress("front-1", 1, RunEvent.RUN_STALLED, 0, 2_000);
+        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(ask("front-2", 1, 0, 0), 0);
+        coordinator.reportProgress("front-2", 1, RunEvent.RUN_FIRST_EVENT, 100, 100);
+        coordinator.reportProgress("front-1", 1, RunEvent.RUN_STALLED, 0, 2_000);
         assertThat(reports, contains("engine failed true"));
     }
 
@@ -232,16 +232,16 @@
     @Test
     void longPromptWaitsForAFastEngineAndAShortOneTakesTheSlow() {
         engine("fast", 1);
-        coordinator.ask(ask("front-1", 1, 1, 0), 0);
+        coordinator.requestPlacement(ask("front-1", 1, 1, 0), 0);
         TargetState slow = engine("slow", 4);
         for (int i = 0; i < 40; i++) {
             slow.speed().observed(6_000, 0, 720);
         }
-        coordinator.ask(summary("front-1", 2), 0);
-        coordinator.ask(ask("front-2", 3, 1, 0), 0);
+        coordinator.requestPlacement(summary("front-1", 2), 0);
+        coordinator.requestPlacement(ask("front-2", 3, 1, 0), 0);
         coordinator.advance(5);
         assertThat(granted, contains("front-1/1@fast", "front-2/3@slow"));
-        coordinator.progress("front-1", 1, RunEvent.RUN_ANSWERED, 0, 10);
+        coordinator.reportProgress("front-1", 1, RunEvent.RUN_ANSWERED, 0, 10);
         assertThat(granted, hasItem("front-1/2@fast"));
     }
 
@@ -252,14 +252,14 @@
         for (int i = 0; i < 40; i++) {
             slow.speed().observed(6_000, 0, 720);
         }
-        coordinator.ask(summary("front-1", 1), 0);
+        coordinator.requestPlacement(summary("front-1", 1), 0);
         assertThat(granted, contains("front-1/1@slow"));
     }
 
-    private static Ask summary(String requester, long id) {
-        return ImmutableAsk.copyOf(ask(requester, id, 0, 0))
+    private static PlacementRequest summary(String requester, long id) {
+        return ImmutablePlacementRequest.copyOf(ask(requester, id, 0, 0))
                 .withDemand(Fixtures.demand(0, 6_610, "summary"))
-                .withPatienceUntilMillis(1_600)
+                .withQueueTimeoutAtMillis(1_600)
                 .withOnTimeUntilMillis(650);
     }
 
@@ -273,48 +273,50 @@
         return targets.values().stream().mapToInt(TargetState::running).sum();
     }
 
-    private static Ask ask(String requester, long id, int tierRank, long nowMillis) {
-        return ImmutableAsk.builder()
+    private static PlacementRequest ask(String requester, long id, int tierRank, long nowMillis) {
+        return ImmutablePlacementRequest.builder()
                 .requester(requester)
                 .id(id)
                 .demand(Fixtures.demand(tierRank, 1_000, "subject"))
                 .deadlineAtMillis(nowMillis + 10_000)
-                .patienceUntilMillis(nowMillis + 600)
+                .queueTimeoutAtMillis(nowMillis + 600)
                 .onTimeUntilMillis(nowMillis + 300)
                 .build();
     }
 
-    private static Ask withQuota(Ask ask, long tokens) {
-        return ImmutableAsk.copyOf(ask).withOrganisation(Optional.of("obec")).withQuotaTokens(tokens);
+    private static PlacementRequest withQuota(PlacementRequest ask, long tokens) {
+        return ImmutablePlacementRequest.copyOf(ask)
+                .withOrganisation(Optional.of("obec"))
+                .withQuotaTokens(tokens);
     }
 
-    private static String name(Ask ask) {
+    private static String name(PlacementRequest ask) {
         return ask.requester() + "/" + ask.id();
     }
 
-    private final class Decisions implements Outbox {
+    private final class Decisions implements DecisionListener {
         @Override
-        public void granted(Ask ask, Candidate candidate) {
+        public void granted(PlacementRequest ask, Candidate candidate) {
             granted.add(name(ask) + "@" + candidate.state().target().id());
         }
 
         @Override
-        public void waiting(Ask ask) {
+        public void queued(PlacementRequest ask) {
             waiting.add(name(ask));
         }
 
         @Override
-        public void shed(Ask ask, RefusalGrounds grounds) {
+        public void shed(PlacementRequest ask, RejectionDetails grounds) {
             refused.add(name(ask) + " shed");
         }
 
         @Override
-        public void overQuota(Ask ask, RefusalGrounds grounds) {
+        public void overQuota(PlacementRequest ask, RejectionDetails grounds) {
             refused.add(name(ask) + " over quota");
         }
     }
 
-    private final class Reports implements TargetReports {
+    private final class Reports implements TargetOutcomeListener {
         @Override
         public void answered(String targetId) {
             reports.add(targetId + " answered");
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/Fixtures.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/Fixtures.java
@@ -39,7 +39,7 @@
                 .service("summaries")
                 .dataCentre("zilina-a")
                 .promptTokens(promptTokens)
-                .addParts(new PromptPart("shared", 60), new PromptPart(subject, promptTokens - 60))
+                .addPromptParts(new PromptPart("shared", 60), new PromptPart(subject, promptTokens - 60))
                 .tierRank(tierRank)
                 .build();
     }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/GrantsOnly.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/GrantsOnly.java
@@ -1,20 +1,20 @@
 package org.whinwharf.traffic;
 
-import org.whinwharf.traffic.coordination.Ask;
-import org.whinwharf.traffic.coordination.Outbox;
-import org.whinwharf.traffic.coordination.RefusalGrounds;
-import org.whinwharf.traffic.coordination.TargetReports;
+import org.whinwharf.traffic.coordination.DecisionListener;
+import org.whinwharf.traffic.coordination.PlacementRequest;
+import org.whinwharf.traffic.coordination.RejectionDetails;
+import org.whinwharf.traffic.coordination.TargetOutcomeListener;
 
 /** Takes a coordinator's decisions where a test looks at grants, and ignores all others. */
-abstract class GrantsOnly implements Outbox, TargetReports {
+abstract class GrantsOnly implements DecisionListener, TargetOutcomeListener {
     @Override
-    public void waiting(Ask ask) {}
+    public void queued(PlacementRequest ask) {}
 
     @Override
-    public void shed(Ask ask, RefusalGrounds grounds) {}
+    public void shed(PlacementRequest ask, RejectionDetails grounds) {}
 
     @Override
-    public void overQuota(Ask ask, RefusalGrounds grounds) {}
+    public void overQuota(PlacementRequest ask, RejectionDetails grounds) {}
 
     @Override
     public void answered(String targetId) {}
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/LongOverloadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/LongOverloadTest.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.whinwharf.traffic.coordination.ImmutableAsk;
+import org.whinwharf.traffic.coordination.ImmutablePlacementRequest;
 import org.whinwharf.traffic.placement.ImmutableDemand;
 
 /**
@@ -56,13 +56,13 @@
         arrivedAtMillis.put(id, nowMillis);
         holdMillis.put(id, HOLD_MILLIS[kind]);
         fleet.ask(
-                ImmutableAsk.builder()
+                ImmutablePlacementRequest.builder()
                         .requester(CoordinatedFleet.FRONT)
                         .id(id)
                         .demand(ImmutableDemand.copyOf(Fixtures.demand(kind + 1, 600, "s" + id))
-                                .withAnswerTokens(ANSWER_TOKENS[kind]))
+                                .withMaxAnswerTokens(ANSWER_TOKENS[kind]))
                         .deadlineAtMillis(nowMillis + 12_000)
-                        .patienceUntilMillis(nowMillis + 2 * OBJECTIVE_MILLIS)
+                        .queueTimeoutAtMillis(nowMillis + 2 * OBJECTIVE_MILLIS)
                         .onTimeUntilMillis(nowMillis + OBJECTIVE_MILLIS * 4 / 5)
                         .build(),
                 HOLD_MILLIS[kind]);
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/PlacementTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/PlacementTest.java
@@ -13,8 +13,8 @@
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.traffic.placement.Demand;
 import org.whinwharf.traffic.placement.ImmutableDemand;
-import org.whinwharf.traffic.placement.Placement;
 import org.whinwharf.traffic.placement.RendezvousColdShares;
+import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.target.PromptCache;
 import org.whinwharf.traffic.target.Target;
 import org.whinwharf.traffic.target.TargetState;
@@ -23,12 +23,12 @@
     private static final double COLD_RATE = 11;
 
     private final PromptCache prompts = new PromptCache();
-    private final Placement placement = new Placement(prompts, target -> 0, () -> 0);
+    private final TargetSelector placement = new TargetSelector(prompts, target -> 0, () -> 0);
 
     @Test
     void promptGoesWhereItWasRead() {
         List<TargetState> states = states(3);
-        prompts.reads(Fixtures.demand(0, 6_610, "orava").parts(), "t2", 0);
+        prompts.reads(Fixtures.demand(0, 6_610, "orava").promptParts(), "t2", 0);
         assertThat(chosen(0, "orava", states), is(Optional.of("t2")));
     }
 
@@ -79,9 +79,9 @@
         states.get(1).others(5, 0);
         Demand shortAnswer = Fixtures.demand(0, 6_610, "orava");
         Demand longAnswer =
-                ImmutableDemand.copyOf(shortAnswer).withAnswerTokens(3_000).withRemainingMillis(12_000);
-        assertThat(idOf(placement.choose(shortAnswer, states, Set.of(), 0)), is(Optional.of("t0")));
-        assertThat(idOf(placement.choose(longAnswer, states, Set.of(), 0)), is(Optional.of("t1")));
+                ImmutableDemand.copyOf(shortAnswer).withMaxAnswerTokens(3_000).withRemainingMillis(12_000);
+        assertThat(idOf(placement.select(shortAnswer, states, Set.of(), 0)), is(Optional.of("t0")));
+        assertThat(idOf(placement.select(longAnswer, states, Set.of(), 0)), is(Optional.of("t1")));
     }
 
     @Test
@@ -118,12 +118,12 @@
 
     @Test
     void coldTargetGetsNoMoreThanTheShareInASecond() {
-        Placement sharing = new Placement(prompts, target -> 3, () -> 0);
+        TargetSelector sharing = new TargetSelector(prompts, target -> 3, () -> 0);
         List<TargetState> states = states(1);
         states.get(0).coldUntil(5_000);
         int sent = 0;
         for (long now = 0; now < 1_000; now += 10) {
-            Optional<Candidate> candidate = sharing.choose(Fixtures.demand(0, 100, "s" + now), states, Set.of(), now);
+            Optional<Candidate> candidate = sharing.select(Fixtures.demand(0, 100, "s" + now), states, Set.of(), now);
             if (candidate.isPresent()) {
                 candidate.get().state().coldGate().sent(now);
                 sent++;
@@ -135,14 +135,14 @@
     @Test
     void leavingTargetsAndDataCentresGetNothing() {
         List<TargetState> states = states(1);
-        assertThat(placement.choose(Fixtures.demand(0, 100, "s"), states, Set.of("zilina-a"), 0), is(Optional.empty()));
+        assertThat(placement.select(Fixtures.demand(0, 100, "s"), states, Set.of("zilina-a"), 0), is(Optional.empty()));
         states.get(0).goneAt(0);
         assertThat(chosen(0, "s", states), is(Optional.empty()));
     }
 
     private Optional<String> chosen(int tierRank, String subject, List<TargetState> states) {
         return placement
-                .choose(Fixtures.demand(tierRank, 6_610, subject), states, Set.of(), 0)
+                .select(Fixtures.demand(tierRank, 6_610, subject), states, Set.of(), 0)
                 .map(candidate -> candidate.state().target().id());
     }
 
@@ -169,10 +169,10 @@
         TargetState idle = new TargetState(Fixtures.target("b-idle", 4));
         TargetState earlier = new TargetState(Fixtures.target("c-earlier", 4));
         Demand demand = Fixtures.demand(0, 6_610, "orava");
-        prompts.reads(demand.parts(), "c-earlier", 0);
-        prompts.reads(demand.parts(), "a-full", 5_000);
+        prompts.reads(demand.promptParts(), "c-earlier", 0);
+        prompts.reads(demand.promptParts(), "a-full", 5_000);
         List<TargetState> targets = List.of(full, idle, earlier);
-        Candidate soon = placement.choose(demand, targets, Set.of(), 6_000).orElseThrow();
+        Candidate soon = placement.select(demand, targets, Set.of(), 6_000).orElseThrow();
         assertThat(soon.state().target().id(), is("c-earlier"));
         assertThat(soon.uncachedTokens(), is(0L));
     }
@@ -181,8 +181,8 @@
     @Test
     void promptReadLongAgoCountsAsForgotten() {
         Demand demand = Fixtures.demand(0, 6_610, "orava");
-        prompts.reads(demand.parts(), "a", 0);
-        assertThat(prompts.uncachedTokens(demand.parts(), 6_610, "a", 20_000), is(0L));
-        assertThat(prompts.uncachedTokens(demand.parts(), 6_610, "a", 20_001), is(6_550L));
+        prompts.reads(demand.promptParts(), "a", 0);
+        assertThat(prompts.uncachedTokens(demand.promptParts(), 6_610, "a", 20_000), is(0L));
+        assertThat(prompts.uncachedTokens(demand.promptParts(), 6_610, "a", 20_001), is(6_550L));
     }
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TierOverloadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TierOverloadTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import org.whinwharf.traffic.coordination.ImmutableAsk;
+import org.whinwharf.traffic.coordination.ImmutablePlacementRequest;
 import org.whinwharf.traffic.placement.ImmutableDemand;
 
 /**
@@ -79,13 +79,13 @@
         arrived[rank]++;
         ranks.put(id, rank);
         fleet.ask(
-                ImmutableAsk.builder()
+                ImmutablePlacementRequest.builder()
                         .requester(CoordinatedFleet.FRONT)
                         .id(id)
                         .demand(ImmutableDemand.copyOf(Fixtures.demand(rank, 600, "s" + id))
-                                .withAnswerTokens(answerTokens[rank]))
+                                .withMaxAnswerTokens(answerTokens[rank]))
                         .deadlineAtMillis(fleet.nowMillis() + 10_000)
-                        .patienceUntilMillis(fleet.nowMillis() + PATIENCE_MILLIS[rank])
+                        .queueTimeoutAtMillis(fleet.nowMillis() + PATIENCE_MILLIS[rank])
                         .onTimeUntilMillis(fleet.nowMillis() + PATIENCE_MILLIS[rank] / 2)
                         .build(),
                 HOLD_MILLIS[rank]);
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/WaitingLineTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/WaitingLineTest.java
@@ -8,16 +8,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.whinwharf.traffic.waiting.Attempt;
-import org.whinwharf.traffic.waiting.Waiter;
-import org.whinwharf.traffic.waiting.WaitingLine;
+import org.whinwharf.traffic.waiting.DispatchResult;
+import org.whinwharf.traffic.waiting.QueuedRequest;
+import org.whinwharf.traffic.waiting.RequestQueue;
 
 class WaitingLineTest {
     private final List<String> sent = new ArrayList<>();
     private final List<String> refused = new ArrayList<>();
     private int places;
 
-    private class Request implements Waiter {
+    private class Request implements QueuedRequest {
         private final String name;
         private final int tierRank;
         private final long untilMillis;
@@ -34,12 +34,12 @@
         }
 
         @Override
-        public long patienceUntilMillis() {
+        public long queueTimeoutAtMillis() {
             return untilMillis;
         }
 
         @Override
-        public long standingUntilMillis() {
+        public long backlogTimeoutAtMillis() {
             return untilMillis / 4;
         }
 
@@ -49,29 +49,29 @@
         }
 
         @Override
-        public String needs() {
+        public String requiredModel() {
             return name.startsWith("rare") ? "rare" : "usual";
         }
 
         @Override
-        public Attempt trySend(long nowMillis) {
+        public DispatchResult tryDispatch(long nowMillis) {
             if (places == 0) {
-                return Attempt.NO_TARGET;
+                return DispatchResult.NO_TARGET;
             }
             places--;
             sent.add(name);
-            return Attempt.SENT;
+            return DispatchResult.SENT;
         }
 
         @Override
-        public void refuse(long nowMillis) {
+        public void reject(long nowMillis) {
             refused.add(name);
         }
     }
 
     @Test
     void higherTierGoesFirstThenTheEarlier() {
-        WaitingLine line = new WaitingLine(10);
+        RequestQueue line = new RequestQueue(10);
         line.add(new Request("school", 2, 1_000), 0);
         line.add(new Request("inspector-1", 0, 1_000), 1);
         line.add(new Request("inspector-2", 0, 1_000), 2);
@@ -86,7 +86,7 @@
      */
     @Test
     void requestThatCanBeOnTimeGoesBeforeOneThatIsLate() {
-        WaitingLine line = new WaitingLine(10);
+        RequestQueue line = new RequestQueue(10);
         line.add(new Request("late", 1, 1_000), 0);
         line.add(new Request("on-time", 1, 2_000), 600);
         places = 1;
@@ -100,7 +100,7 @@
      */
     @Test
     void overflowPushesOutTheLowestTier() {
-        WaitingLine line = new WaitingLine(2);
+        RequestQueue line = new RequestQueue(2);
         line.add(new Request("school-1", 2, 1_000), 0);
         line.add(new Request("school-2", 2, 1_000), 0);
         line.add(new Request("inspector", 0, 1_000), 0);
@@ -114,7 +114,7 @@
      */
     @Test
     void standingLineKeepsRequestsForAShortTimeOnly() {
-        WaitingLine line = new WaitingLine(10);
+        RequestQueue line = new RequestQueue(10);
         line.add(new Request("first", 1, 1_000), 0);
         line.add(new Request("second", 1, 3_800), 900);
         line.advance(949);
@@ -134,13 +134,13 @@
      */
     @Test
     void requestHeldForABetterTargetIsNotRefusedByAStandingLine() {
-        WaitingLine line = new WaitingLine(10);
+        RequestQueue line = new RequestQueue(10);
         line.add(new Request("usual", 1, 1_500), 0);
         line.add(
                 new Request("held", 1, 4_000) {
                     @Override
-                    public Attempt trySend(long nowMillis) {
-                        return Attempt.HELD;
+                    public DispatchResult tryDispatch(long nowMillis) {
+                        return DispatchResult.HELD;
                     }
                 },
                 0);
@@ -152,7 +152,7 @@
     /** A short burst leaves some requests waiting. The line has emptied since, so the next ones get their full time. */
     @Test
     void lineThatWasWorkedOffStandsNoMore() {
-        WaitingLine line = new WaitingLine(10);
+        RequestQueue line = new RequestQueue(10);
         line.add(new Request("first", 1, 5_000), 0);
         line.advance(900);
         places = 1;
@@ -160,12 +160,12 @@
         line.add(new Request("second", 1, 2_400), 1_300);
         line.advance(1_400);
         assertThat(refused, is(List.of()));
-        assertThat(line.standingMillis(1_400), is(100L));
+        assertThat(line.backlogAgeMillis(1_400), is(100L));
     }
 
     @Test
     void endOfPatienceRefusesOnce() {
-        WaitingLine line = new WaitingLine(2);
+        RequestQueue line = new RequestQueue(2);
         line.add(new Request("school", 2, 100), 0);
         line.advance(100);
         line.advance(200);
@@ -179,16 +179,16 @@
      */
     @Test
     void requestThatComesBackWhileTheLineAdvancesIsKept() {
-        WaitingLine line = new WaitingLine(10);
-        Waiter returning = new Request("returning", 1, 1_000) {
+        RequestQueue line = new RequestQueue(10);
+        QueuedRequest returning = new Request("returning", 1, 1_000) {
             @Override
-            public Attempt trySend(long nowMillis) {
+            public DispatchResult tryDispatch(long nowMillis) {
                 if (sent.isEmpty()) {
                     sent.add("returning");
                     line.add(this, nowMillis);
-                    return Attempt.SENT;
+                    return DispatchResult.SENT;
                 }
-                return Attempt.NO_TARGET;
+                return DispatchResult.NO_TARGET;
             }
         };
         line.add(returning, 0);
@@ -204,7 +204,7 @@
      */
     @Test
     void requestsForAFullModelDoNotHoldUpThoseForAnother() {
-        WaitingLine line = new WaitingLine(100);
+        RequestQueue line = new RequestQueue(100);
         for (int i = 0; i < 10; i++) {
             line.add(new FullModelRequest("rare-" + i), 0);
         }
@@ -217,15 +217,15 @@
     /** Hundreds wait for full engines. Trying each of them at each freed slot would take the whole processor. */
     @Test
     void fewOfManyAlikeAreTriedAtOnce() {
-        WaitingLine line = new WaitingLine(1_000);
+        RequestQueue line = new RequestQueue(1_000);
         int[] tries = new int[1];
         for (int i = 0; i < 500; i++) {
             line.add(
                     new Request("usual-" + i, 1, 1_000) {
                         @Override
-                        public Attempt trySend(long nowMillis) {
+                        public DispatchResult tryDispatch(long nowMillis) {
                             tries[0]++;
-                            return Attempt.NO_TARGET;
+                            return DispatchResult.NO_TARGET;
                         }
                     },
                     0);
@@ -241,13 +241,13 @@
      */
     @Test
     void requestsThatWaitForABetterTargetDoNotHoldUpThoseBehindThem() {
-        WaitingLine line = new WaitingLine(100);
+        RequestQueue line = new RequestQueue(100);
         for (int i = 0; i < 10; i++) {
             line.add(
                     new Request("long-" + i, 1, 1_000) {
                         @Override
-                        public Attempt trySend(long nowMillis) {
-                            return Attempt.HELD;
+                        public DispatchResult tryDispatch(long nowMillis) {
+                            return DispatchResult.HELD;
                         }
                     },
                     0);
@@ -265,8 +265,8 @@
         }
 
         @Override
-        public Attempt trySend(long nowMillis) {
-            return Attempt.NO_TARGET;
+        public DispatchResult tryDispatch(long nowMillis) {
+            return DispatchResult.NO_TARGET;
         }
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/Coordinator.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/Coordinator.java
@@ -13,7 +13,7 @@
  * not be lost: another process takes over with what the others tell it they have under way.
  */
 public final class Coordinator {
-    private final CoordinatorParts parts;
+    private final CoordinatorDependencies parts;
     private final Map<String, ServiceDesk> desks = new HashMap<>();
 
     /**
@@ -21,7 +21,7 @@
      *
      * @param parts what it decides with, and who takes its decisions
      */
-    public Coordinator(CoordinatorParts parts) {
+    public Coordinator(CoordinatorDependencies parts) {
         this.parts = parts;
     }
 
@@ -31,7 +31,7 @@
      * @param ask the ask
      * @param nowMillis steady time in milliseconds
      */
-    public void ask(Ask ask, long nowMillis) {
+    public void requestPlacement(PlacementRequest ask, long nowMillis) {
         desk(ask.demand().service()).ask(ask, nowMillis);
     }
 
@@ -44,7 +44,7 @@
      * @param tookMillis time to the first event, or from the first event to the last; 0 when it says nothing
      * @param nowMillis steady time in milliseconds
      */
-    public void progress(String process, long id, RunEvent event, long tookMillis, long nowMillis) {
+    public void reportProgress(String process, long id, RunEvent event, long tookMillis, long nowMillis) {
         desks.values().forEach(desk -> desk.progress(process, id, event, tookMillis, nowMillis));
     }
 
@@ -56,7 +56,7 @@
      * @param runs its requests, by the ids of their asks
      * @param nowMillis steady time in milliseconds
      */
-    public void underWay(String process, String service, Map<Long, RunningRequests.Run> runs, long nowMillis) {
+    public void reportInFlight(String process, String service, Map<Long, RunningRequests.Run> runs, long nowMillis) {
         desk(service).underWay(process, runs, nowMillis);
     }
 
@@ -74,7 +74,7 @@
      *
      * @return requests of all services
      */
-    public int waiting() {
+    public int queuedRequests() {
         int waiting = 0;
         for (ServiceDesk desk : desks.values()) {
             waiting += desk.waiting();
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/CoordinatorParts.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/CoordinatorDependencies.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import org.immutables.value.Value;
-import org.whinwharf.traffic.placement.Placement;
+import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.policy.Policy;
 import org.whinwharf.traffic.quota.QuotaLedger;
 import org.whinwharf.traffic.target.PromptCache;
@@ -14,27 +14,27 @@
 
 /** What a coordinator decides with, and who takes its decisions. */
 @Value.Immutable
-public interface CoordinatorParts {
+public interface CoordinatorDependencies {
     /**
      * Returns the process that coordinates; what its own requests show reaches the targets without the coordinator.
      *
      * @return name of the process
      */
-    String ownName();
+    String localName();
 
     /**
      * Returns how targets are chosen.
      *
      * @return placement, with the shares of cold targets that a coordinator may use
      */
-    Placement placement();
+    TargetSelector targetSelector();
 
     /**
      * Returns where prompts were read.
      *
      * @return memory that the placement uses
      */
-    PromptCache prompts();
+    PromptCache promptCache();
 
     /**
      * Returns what is known of targets.
@@ -48,7 +48,7 @@
      *
      * @return their names, at any time
      */
-    Supplier<Set<String>> evacuated();
+    Supplier<Set<String>> evacuatedDataCentres();
 
     /**
      * Returns the quotas of all organisations.
@@ -62,21 +62,21 @@
      *
      * @return taker of reports
      */
-    TargetReports reports();
+    TargetOutcomeListener targetOutcomeListener();
 
     /**
      * Returns who takes decisions.
      *
      * @return outbox
      */
-    Outbox outbox();
+    DecisionListener decisionListener();
 
     /**
      * Returns who takes what is under way at targets.
      *
      * @return taker of loads
      */
-    LoadListener loads();
+    LoadListener loadListener();
 
     /**
      * Returns the random numbers that spread the advice to callers.
@@ -95,6 +95,6 @@
      */
     @Value.Default
     default Policy policy() {
-        return Policy.WHOLE;
+        return Policy.ALL_ENABLED;
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/Outbox.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/DecisionListener.java
@@ -3,21 +3,21 @@
 import org.whinwharf.traffic.placement.Candidate;
 
 /** Takes what a coordinator decides. */
-public interface Outbox {
+public interface DecisionListener {
     /**
      * Takes a grant: the asker may send its request to the target now.
      *
      * @param ask the ask
      * @param candidate the target
      */
-    void granted(Ask ask, Candidate candidate);
+    void granted(PlacementRequest ask, Candidate candidate);
 
     /**
      * Takes that a request waits for a target.
      *
      * @param ask the ask
      */
-    void waiting(Ask ask);
+    void queued(PlacementRequest ask);
 
     /**
      * Takes that a request found no target in time, or made way for one of a higher tier.
@@ -25,7 +25,7 @@
      * @param ask the ask
      * @param grounds why, and when its caller should come back
      */
-    void shed(Ask ask, RefusalGrounds grounds);
+    void shed(PlacementRequest ask, RejectionDetails grounds);
 
     /**
      * Takes that a request is over its organisation's quota.
@@ -33,5 +33,5 @@
      * @param ask the ask
      * @param grounds why, and when its caller should come back
      */
-    void overQuota(Ask ask, RefusalGrounds grounds);
+    void overQuota(PlacementRequest ask, RejectionDetails grounds);
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/Ask.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/PlacementRequest.java
@@ -6,7 +6,7 @@
 
 /** What a process asks of the coordinator for one request. */
 @Value.Immutable
-public interface Ask {
+public interface PlacementRequest {
     /**
      * Returns who asks.
      *
@@ -40,7 +40,7 @@
      *
      * @return steady time of the coordinator in milliseconds
      */
-    long patienceUntilMillis();
+    long queueTimeoutAtMillis();
 
     /**
      * Returns until when the request may meet its objective.
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/ServiceDesk.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/ServiceDesk.java
@@ -11,12 +11,12 @@
 import org.whinwharf.traffic.quota.QuotaLedger;
 import org.whinwharf.traffic.target.TargetSpeed;
 import org.whinwharf.traffic.target.TargetState;
-import org.whinwharf.traffic.waiting.Attempt;
+import org.whinwharf.traffic.waiting.DispatchResult;
 import org.whinwharf.traffic.waiting.JoinedRanks;
 import org.whinwharf.traffic.waiting.Pace;
-import org.whinwharf.traffic.waiting.Patience;
-import org.whinwharf.traffic.waiting.Waiter;
-import org.whinwharf.traffic.waiting.WaitingLine;
+import org.whinwharf.traffic.waiting.QueueTimeouts;
+import org.whinwharf.traffic.waiting.QueuedRequest;
+import org.whinwharf.traffic.waiting.RequestQueue;
 import org.whinwharf.wire.fleet.RunEvent;
 
 /** The waiting line, the grants and the requests under way of one service, as its coordinator knows them. */
@@ -31,9 +31,9 @@
      */
     private static final long SPOKE_LATELY_MILLIS = 1_000;
 
-    private final CoordinatorParts parts;
+    private final CoordinatorDependencies parts;
     private final String service;
-    private final WaitingLine line;
+    private final RequestQueue line;
     private final RunningRequests running;
     private final Pace pace = new Pace();
     private final JoinedRanks ranks = new JoinedRanks();
@@ -43,13 +43,13 @@
 
     private record AskKey(String requester, long id) {}
 
-    private record Grant(Ask ask, Candidate candidate) {}
+    private record Grant(PlacementRequest ask, Candidate candidate) {}
 
-    ServiceDesk(CoordinatorParts parts, String service) {
+    ServiceDesk(CoordinatorDependencies parts, String service) {
         this.parts = parts;
         this.service = service;
-        line = new WaitingLine(MOST_WAITING, parts.policy());
-        running = new RunningRequests(parts.loads());
+        line = new RequestQueue(MOST_WAITING, parts.policy());
+        running = new RunningRequests(parts.loadListener());
     }
 
     /** Returns how many requests wait. */
@@ -64,31 +64,33 @@
         line.advance(nowMillis);
     }
 
-    void ask(Ask ask, long nowMillis) {
+    void ask(PlacementRequest ask, long nowMillis) {
         AskKey key = new AskKey(ask.requester(), ask.id());
         Grant grant = grants.get(key);
         if (grant != null) {
-            parts.outbox().granted(ask, grant.candidate());
+            parts.decisionListener().granted(ask, grant.candidate());
             return;
         }
         if (waiting.containsKey(key)) {
-            parts.outbox().waiting(ask);
+            parts.decisionListener().queued(ask);
             return;
         }
         QueuedAsk queued = new QueuedAsk(ask, key, place(ask, nowMillis), nowMillis);
         if (hopeless(queued, nowMillis)) {
-            parts.outbox().shed(ask, grounds(queued.tierRank(), nowMillis));
+            parts.decisionListener().shed(ask, grounds(queued.tierRank(), nowMillis));
             return;
         }
         if (!admit(ask, nowMillis)) {
-            parts.outbox().overQuota(ask, quotaGrounds(ask.organisation().orElseThrow(), nowMillis));
+            parts.decisionListener()
+                    .overQuota(ask, quotaGrounds(ask.organisation().orElseThrow(), nowMillis));
             return;
         }
-        if (!line.hasAhead(queued.tierRank()) && !queued.trySend(nowMillis).waits()) {
+        if (!line.hasQueuedAhead(queued.tierRank())
+                && !queued.tryDispatch(nowMillis).stillQueued()) {
             return;
         }
         waiting.put(key, queued);
-        parts.outbox().waiting(ask);
+        parts.decisionListener().queued(ask);
         line.add(queued, nowMillis);
     }
 
@@ -97,22 +99,22 @@
      * the sooner, and a long line of such requests keeps nobody who has a chance.
      */
     private boolean hopeless(QueuedAsk queued, long nowMillis) {
-        int ahead = line.ahead(queued.tierRank(), nowMillis);
-        long keptMillis = line.keptUntilMillis(queued, nowMillis) - nowMillis;
-        return parts.policy().uses(Mechanism.REFUSAL_ON_ARRIVAL)
+        int ahead = line.queuedAhead(queued.tierRank(), nowMillis);
+        long keptMillis = line.effectiveTimeoutAtMillis(queued, nowMillis) - nowMillis;
+        return parts.policy().isEnabled(Mechanism.REFUSAL_ON_ARRIVAL)
                 && ahead >= FEW_WAITING
                 && predictedWaitMillis(ahead, queued.tierRank(), nowMillis) > keptMillis;
     }
 
-    private JoinedRanks.Place place(Ask ask, long nowMillis) {
+    private JoinedRanks.Place place(PlacementRequest ask, long nowMillis) {
         Demand demand = ask.demand();
         long onTimeMillis = ask.onTimeUntilMillis() - nowMillis;
-        if (!parts.policy().uses(Mechanism.JOINED_RANKS)) {
+        if (!parts.policy().isEnabled(Mechanism.JOINED_RANKS)) {
             return new JoinedRanks.Place(demand.tierRank(), onTimeMillis);
         }
         return ranks.place(
                 demand.tierRank(),
-                TargetSpeed.assumedHoldMillis(demand.promptTokens(), demand.answerTokens()),
+                TargetSpeed.assumedHoldMillis(demand.promptTokens(), demand.maxAnswerTokens()),
                 onTimeMillis);
     }
 
@@ -128,7 +130,7 @@
                         && running.find(process, key.id()).isEmpty());
     }
 
-    private boolean admit(Ask ask, long nowMillis) {
+    private boolean admit(PlacementRequest ask, long nowMillis) {
         return ask.organisation().isEmpty()
                 || parts.quotas()
                         .tryAdmitFor(ask.requester(), ask.organisation().get(), ask.quotaTokens(), nowMillis);
@@ -161,7 +163,7 @@
         Optional<RunningRequests.Run> run = running.ended(key.requester(), key.id());
         if (run.isPresent() && event == RunEvent.RUN_SILENT) {
             judgeSilence(run.get().targetId(), nowMillis);
-        } else if (run.isPresent() && !key.requester().equals(parts.ownName())) {
+        } else if (run.isPresent() && !key.requester().equals(parts.localName())) {
             judge(run.get().targetId(), event);
         }
         if (grant != null) {
@@ -171,7 +173,7 @@
     }
 
     private void firstEvent(AskKey key, Grant grant, long tookMillis) {
-        if (tookMillis > 0 && !key.requester().equals(parts.ownName())) {
+        if (tookMillis > 0 && !key.requester().equals(parts.localName())) {
             Candidate candidate = grant.candidate();
             candidate.state().health().answering();
             candidate.state().speed().observed(candidate.tokensAhead(), candidate.occupancy(), tookMillis);
@@ -180,11 +182,11 @@
 
     private void ended(AskKey key, Grant grant, RunEvent event, long tookMillis, long nowMillis) {
         TargetState state = grant.candidate().state();
-        long answerTokens = grant.ask().demand().answerTokens();
+        long answerTokens = grant.ask().demand().maxAnswerTokens();
         if (event == RunEvent.RUN_ANSWERED
                 && tookMillis > 0
                 && answerTokens > 0
-                && !key.requester().equals(parts.ownName())) {
+                && !key.requester().equals(parts.localName())) {
             state.speed().answered(answerTokens, tookMillis);
         }
         if (event == RunEvent.RUN_REFUSED) {
@@ -198,57 +200,57 @@
      * be lost when its slots are needed most. If it speaks with others, the silence counts as an error.
      */
     private void judgeSilence(String targetId, long nowMillis) {
-        Long spokeMillis = parts.policy().uses(Mechanism.SILENCE_TO_ALL) ? spokeAtMillis.get(targetId) : null;
+        Long spokeMillis = parts.policy().isEnabled(Mechanism.SILENCE_TO_ALL) ? spokeAtMillis.get(targetId) : null;
         if (spokeMillis != null && nowMillis - spokeMillis <= SPOKE_LATELY_MILLIS) {
-            parts.reports().erred(targetId);
+            parts.targetOutcomeListener().erred(targetId);
         } else {
-            parts.reports().failed(targetId, true);
+            parts.targetOutcomeListener().failed(targetId, true);
         }
     }
 
     private void judge(String targetId, RunEvent event) {
         switch (event) {
-            case RUN_ANSWERED -> parts.reports().answered(targetId);
-            case RUN_REFUSED, RUN_ERRED -> parts.reports().erred(targetId);
-            case RUN_UNREACHABLE -> parts.reports().failed(targetId, true);
-            case RUN_BROKEN -> parts.reports().failed(targetId, false);
+            case RUN_ANSWERED -> parts.targetOutcomeListener().answered(targetId);
+            case RUN_REFUSED, RUN_ERRED -> parts.targetOutcomeListener().erred(targetId);
+            case RUN_UNREACHABLE -> parts.targetOutcomeListener().failed(targetId, true);
+            case RUN_BROKEN -> parts.targetOutcomeListener().failed(targetId, false);
             default -> {
                 // The caller left, or nothing is known: no word on the target.
             }
         }
     }
 
-    private RefusalGrounds grounds(int rank, long nowMillis) {
-        long standingMillis = line.standingMillis(rank, nowMillis);
-        long adviceMillis = parts.policy().uses(Mechanism.ADVICE_BY_STANDING) ? standingMillis : 0;
-        int ahead = line.ahead(rank, nowMillis);
-        return new RefusalGrounds(
-                Patience.comeBackMillis(adviceMillis, parts.random().getAsDouble()),
+    private RejectionDetails grounds(int rank, long nowMillis) {
+        long standingMillis = line.backlogAgeMillis(rank, nowMillis);
+        long adviceMillis = parts.policy().isEnabled(Mechanism.ADVICE_BY_STANDING) ? standingMillis : 0;
+        int ahead = line.queuedAhead(rank, nowMillis);
+        return new RejectionDetails(
+                QueueTimeouts.retryAfterMillis(adviceMillis, parts.random().getAsDouble()),
                 ahead,
                 predictedWaitMillis(ahead, rank, nowMillis),
                 standingMillis,
                 0);
     }
 
-    private RefusalGrounds quotaGrounds(String organisation, long nowMillis) {
+    private RejectionDetails quotaGrounds(String organisation, long nowMillis) {
         QuotaLedger quotas = parts.quotas();
-        return new RefusalGrounds(
+        return new RejectionDetails(
                 quotas.comeBackMillis(organisation), 0, 0, 0, quotas.levelTokens(organisation, nowMillis));
     }
 
     private long predictedWaitMillis(int ahead, int rank, long nowMillis) {
-        return pace.waitMillis(ahead, parts.policy().uses(Mechanism.PACE_BY_RANK) ? rank : 0, nowMillis);
+        return pace.waitMillis(ahead, parts.policy().isEnabled(Mechanism.PACE_BY_RANK) ? rank : 0, nowMillis);
     }
 
     /** One ask that waits. */
-    private final class QueuedAsk implements Waiter {
-        private final Ask ask;
+    private final class QueuedAsk implements QueuedRequest {
+        private final PlacementRequest ask;
         private final AskKey key;
         private final int lineRank;
         private final long onTimeUntilMillis;
         private final long standingUntilMillis;
 
-        QueuedAsk(Ask ask, AskKey key, JoinedRanks.Place place, long nowMillis) {
+        QueuedAsk(PlacementRequest ask, AskKey key, JoinedRanks.Place place, long nowMillis) {
             this.ask = ask;
             this.key = key;
             lineRank = place.rank();
@@ -256,12 +258,12 @@
             // A request that failed at a target was accepted once and is late already; it is not turned away
             // lightly.
             standingUntilMillis = place.onTimeMillis() <= 0
-                    ? ask.patienceUntilMillis()
-                    : nowMillis + Patience.standingMillis(place.onTimeMillis());
+                    ? ask.queueTimeoutAtMillis()
+                    : nowMillis + QueueTimeouts.backlogTimeoutMillis(place.onTimeMillis());
         }
 
         @Override
-        public long standingUntilMillis() {
+        public long backlogTimeoutAtMillis() {
             return standingUntilMillis;
         }
 
@@ -271,8 +273,8 @@
         }
 
         @Override
-        public long patienceUntilMillis() {
-            return ask.patienceUntilMillis();
+        public long queueTimeoutAtMillis() {
+            return ask.queueTimeoutAtMillis();
         }
 
         @Override
@@ -281,29 +283,29 @@
         }
 
         @Override
-        public String needs() {
+        public String requiredModel() {
             return ask.demand().model();
         }
 
         @Override
-        public Attempt trySend(long nowMillis) {
+        public DispatchResult tryDispatch(long nowMillis) {
             ImmutableDemand demand = ImmutableDemand.copyOf(ask.demand())
                     .withTierRank(lineRank)
                     .withRemainingMillis(ask.deadlineAtMillis() - nowMillis);
-            Optional<Candidate> chosen = parts.placement()
-                    .choose(
+            Optional<Candidate> chosen = parts.targetSelector()
+                    .select(
                             demand,
                             parts.targets().apply(service),
-                            parts.evacuated().get(),
+                            parts.evacuatedDataCentres().get(),
                             nowMillis);
             if (chosen.isEmpty()) {
-                return Attempt.NO_TARGET;
+                return DispatchResult.NO_TARGET;
             }
             if (missesObjective(chosen.get(), demand, nowMillis)) {
-                return Attempt.HELD;
+                return DispatchResult.HELD;
             }
             grant(chosen.get(), nowMillis);
-            return Attempt.SENT;
+            return DispatchResult.SENT;
         }
 
         /**
@@ -315,11 +317,11 @@
             long leftMillis = ask.onTimeUntilMillis() - nowMillis;
             return leftMillis > 0
                     && candidate.firstEventMillis() > leftMillis
-                    && parts.placement()
-                            .somewhereWithin(
+                    && parts.targetSelector()
+                            .anyTargetWithin(
                                     demand,
                                     parts.targets().apply(service),
-                                    parts.evacuated().get(),
+                                    parts.evacuatedDataCentres().get(),
                                     leftMillis,
                                     nowMillis);
         }
@@ -333,17 +335,17 @@
                     key.id(),
                     new RunningRequests.Run(targetId, candidate.uncachedTokens()),
                     nowMillis);
-            candidate.sent(nowMillis);
-            parts.prompts().reads(ask.demand().parts(), targetId, nowMillis);
+            candidate.recordDispatch(nowMillis);
+            parts.promptCache().reads(ask.demand().promptParts(), targetId, nowMillis);
             grants.put(key, new Grant(ask, candidate));
-            parts.outbox().granted(ask, candidate);
+            parts.decisionListener().granted(ask, candidate);
         }
 
         @Override
-        public void refuse(long nowMillis) {
+        public void reject(long nowMillis) {
             waiting.remove(key);
             refund();
-            parts.outbox().shed(ask, grounds(lineRank, nowMillis));
+            parts.decisionListener().shed(ask, grounds(lineRank, nowMillis));
         }
 
         void refund() {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/TargetReports.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/TargetOutcomeListener.java
@@ -1,7 +1,7 @@
 package org.whinwharf.traffic.coordination;
 
 /** Takes what other processes saw of targets, for the targets' health. */
-public interface TargetReports {
+public interface TargetOutcomeListener {
     /**
      * Takes that a target answered a request properly.
      *
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Candidate.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Candidate.java
@@ -26,7 +26,7 @@
      *
      * @param nowMillis steady time in milliseconds
      */
-    public void sent(long nowMillis) {
+    public void recordDispatch(long nowMillis) {
         state.health().sent(nowMillis);
         if (coldAllowance > 0) {
             state.coldGate().sent(nowMillis);
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Demand.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Demand.java
@@ -48,7 +48,7 @@
      * @return tokens; 0 for plain services
      */
     @Value.Default
-    default long answerTokens() {
+    default long maxAnswerTokens() {
         return 0;
     }
 
@@ -67,7 +67,7 @@
      *
      * @return parts, in order; empty for plain services
      */
-    List<PromptPart> parts();
+    List<PromptPart> promptParts();
 
     /**
      * Returns its rank.
@@ -81,5 +81,5 @@
      *
      * @return ids of targets
      */
-    Set<String> tried();
+    Set<String> triedTargets();
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Placement.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/TargetSelector.java
@@ -17,7 +17,7 @@
  * all that is known, and the lower its rank the more slots must stay free behind it: when a burst fills the fleet, the
  * last slots go to the highest tier without any word between processes.
  */
-public final class Placement {
+public final class TargetSelector {
     /**
      * Occupancy up to which the highest tier is sent. News of freed slots is a tenth of a second old; one request that
      * waits at each target keeps it at work meanwhile.
@@ -59,8 +59,8 @@
      * @param spread part by which a prediction for an engine is made worse at random, drawn for each; processes that
      *     choose without knowing of each other would all take the fastest engine together
      */
-    public Placement(PromptCache prompts, ColdShares coldShares, DoubleSupplier spread) {
-        this(prompts, coldShares, spread, Policy.WHOLE);
+    public TargetSelector(PromptCache prompts, ColdShares coldShares, DoubleSupplier spread) {
+        this(prompts, coldShares, spread, Policy.ALL_ENABLED);
     }
 
     /**
@@ -71,7 +71,7 @@
      * @param spread part by which a prediction for an engine is made worse at random
      * @param policy what is in use
      */
-    public Placement(PromptCache prompts, ColdShares coldShares, DoubleSupplier spread, Policy policy) {
+    public TargetSelector(PromptCache prompts, ColdShares coldShares, DoubleSupplier spread, Policy policy) {
         this.prompts = prompts;
         this.coldShares = coldShares;
         this.spread = spread;
@@ -87,7 +87,7 @@
      * @param nowMillis steady time in milliseconds
      * @return the target; empty when none may take the request now
      */
-    public Optional<Candidate> choose(
+    public Optional<Candidate> select(
             Demand demand, Collection<TargetState> targets, Collection<String> evacuated, long nowMillis) {
         double mostOccupancy = mostOccupancy(demand.tierRank());
         Candidate best = null;
@@ -115,20 +115,23 @@
     }
 
     private double mostOccupancy(int tierRank) {
-        double full = policy.uses(Mechanism.BEYOND_SLOTS) ? FULL_OCCUPANCY : 1;
+        double full = policy.isEnabled(Mechanism.BEYOND_SLOTS) ? FULL_OCCUPANCY : 1;
         int reserves = Math.min(TierRank.ofRoute(tierRank), MOST_RESERVES);
-        return policy.uses(Mechanism.RESERVE_BY_RANK) ? full - RESERVE_PER_RANK * reserves : full;
+        return policy.isEnabled(Mechanism.RESERVE_BY_RANK) ? full - RESERVE_PER_RANK * reserves : full;
     }
 
     private long uncachedTokens(Demand demand, TargetState state, long nowMillis) {
-        return policy.uses(Mechanism.PROMPT_MEMORY)
+        return policy.isEnabled(Mechanism.PROMPT_MEMORY)
                 ? prompts.uncachedTokens(
-                        demand.parts(), demand.promptTokens(), state.target().id(), nowMillis)
+                        demand.promptParts(),
+                        demand.promptTokens(),
+                        state.target().id(),
+                        nowMillis)
                 : demand.promptTokens();
     }
 
     private TargetSpeed speed(TargetState state) {
-        return policy.uses(Mechanism.LEARNED_SPEED) ? state.speed() : ASSUMED_SPEED;
+        return policy.isEnabled(Mechanism.LEARNED_SPEED) ? state.speed() : ASSUMED_SPEED;
     }
 
     /**
@@ -141,7 +144,7 @@
      * @param nowMillis steady time in milliseconds
      * @return true when waiting for it is worth while
      */
-    public boolean somewhereWithin(
+    public boolean anyTargetWithin(
             Demand demand,
             Collection<TargetState> targets,
             Collection<String> evacuated,
@@ -160,7 +163,7 @@
         return state.usable(nowMillis)
                 && state.health().admits(nowMillis)
                 && !evacuated.contains(state.target().dataCentre())
-                && !demand.tried().contains(state.target().id())
+                && !demand.triedTargets().contains(state.target().id())
                 && (demand.model().isEmpty()
                         || state.target().models().isEmpty()
                         || state.target().models().contains(demand.model()));
@@ -171,12 +174,12 @@
         long uncached = uncachedTokens(demand, state, nowMillis);
         long ahead = uncached + state.prefillTokens();
         double predicted = speed(state).firstEventMillis(ahead, occupancy) + far;
-        double answerMillis = speed(state).answerMillis(demand.answerTokens());
+        double answerMillis = speed(state).answerMillis(demand.maxAnswerTokens());
         double rating = predicted;
-        if (policy.uses(Mechanism.ANSWER_LENGTH)) {
+        if (policy.isEnabled(Mechanism.ANSWER_LENGTH)) {
             rating += answerMillis * ANSWER_WEIGHT;
         }
-        if (policy.uses(Mechanism.DEADLINE_FIT)) {
+        if (policy.isEnabled(Mechanism.DEADLINE_FIT)) {
             rating += Math.max(0, predicted + answerMillis - demand.remainingMillis() * SAFE_TIME_SHARE);
         }
         double spreadFactor = demand.promptTokens() > 0 ? 1 + spread.getAsDouble() : 1;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/policy/Policy.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/policy/Policy.java
@@ -7,7 +7,7 @@
 @Value.Immutable
 public interface Policy {
     /** Everything is in use. */
-    Policy WHOLE = ImmutablePolicy.builder().build();
+    Policy ALL_ENABLED = ImmutablePolicy.builder().build();
 
     /**
      * Returns what is switched off.
@@ -22,7 +22,7 @@
      * @param mechanism the mechanism
      * @return false when it is switched off
      */
-    default boolean uses(Mechanism mechanism) {
+    default boolean isEnabled(Mechanism mechanism) {
         return !disabled().contains(mechanism);
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/Attempt.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/DispatchResult.java
@@ -1,7 +1,7 @@
 package org.whinwharf.traffic.waiting;
 
 /** What came of trying to send a waiting request. */
-public enum Attempt {
+public enum DispatchResult {
     /** It no longer waits. */
     SENT,
     /** No target may take it now; what keeps it waiting mostly keeps all with the same needs. */
@@ -14,7 +14,7 @@
      *
      * @return false once it is sent
      */
-    public boolean waits() {
+    public boolean stillQueued() {
         return this != SENT;
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/Patience.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/QueueTimeouts.java
@@ -1,7 +1,7 @@
 package org.whinwharf.traffic.waiting;
 
 /** How long a request is kept waiting, and when a refused caller should come back. */
-public final class Patience {
+public final class QueueTimeouts {
     /**
      * Objectives that a request may wait. An answer that is late is still worth having, so a burst of a second is
      * served late and not refused; but whoever is served late takes the slot of one who could be on time.
@@ -22,7 +22,7 @@
     /** Longest advice: a caller that waits longer has mostly run out of its own time. */
     private static final long LATEST_MILLIS = 8_000;
 
-    private Patience() {}
+    private QueueTimeouts() {}
 
     /**
      * Returns how long a request may wait for a target.
@@ -31,7 +31,7 @@
      * @param remainingMillis time until its deadline
      * @return time in milliseconds
      */
-    public static long waitMillis(long objectiveMillis, long remainingMillis) {
+    public static long queueTimeoutMillis(long objectiveMillis, long remainingMillis) {
         return (long) Math.min(objectiveMillis * OBJECTIVES, remainingMillis * REMAINING_SHARE);
     }
 
@@ -51,7 +51,7 @@
      * @param onTimeMillis time for which it goes before those that are late
      * @return time in milliseconds
      */
-    public static long standingMillis(long onTimeMillis) {
+    public static long backlogTimeoutMillis(long onTimeMillis) {
         return (long) (onTimeMillis * STANDING_SHARE);
     }
 
@@ -64,7 +64,7 @@
      * @param spread random number from 0 to 1
      * @return time in milliseconds
      */
-    public static long comeBackMillis(long standingMillis, double spread) {
+    public static long retryAfterMillis(long standingMillis, double spread) {
         long middle = Math.min(LATEST_MILLIS, SOONEST_MILLIS + standingMillis);
         return (long) (middle * (0.75 + 0.5 * spread));
     }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/Waiter.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/QueuedRequest.java
@@ -1,7 +1,7 @@
 package org.whinwharf.traffic.waiting;
 
 /** A request that waits for a target. */
-public interface Waiter {
+public interface QueuedRequest {
     /**
      * Returns its rank.
      *
@@ -14,14 +14,14 @@
      *
      * @return steady time in milliseconds
      */
-    long patienceUntilMillis();
+    long queueTimeoutAtMillis();
 
     /**
      * Returns until when it may be kept waiting in a line that has not emptied for long.
      *
      * @return steady time in milliseconds
      */
-    long standingUntilMillis();
+    long backlogTimeoutAtMillis();
 
     /**
      * Returns until when it may meet its objective.
@@ -35,7 +35,7 @@
      *
      * @return name of the model; empty when any target will do
      */
-    String needs();
+    String requiredModel();
 
     /**
      * Tries to send it.
@@ -43,12 +43,12 @@
      * @param nowMillis steady time in milliseconds
      * @return what came of it
      */
-    Attempt trySend(long nowMillis);
+    DispatchResult tryDispatch(long nowMillis);
 
     /**
      * Refuses it, since its patience ended.
      *
      * @param nowMillis steady time in milliseconds
      */
-    void refuse(long nowMillis);
+    void reject(long nowMillis);
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/WaitingLine.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/RequestQueue.java
@@ -16,7 +16,7 @@
  * <p>They wait here and not at an engine, because here a later request of a higher tier still goes first and a caller
  * that leaves costs nothing.
  */
-public final class WaitingLine {
+public final class RequestQueue {
     /**
      * Requests of one rank and the same needs that find no target before the rest of them is left for the next look.
      * What keeps one from being sent keeps nearly all of them; trying each of several hundred at each freed slot would
@@ -26,7 +26,7 @@
     /** Time without an empty line after which it stands: shorter bursts are worked off late and nobody is refused. */
     private static final long STANDING_MILLIS = 1_000;
 
-    private final TreeMap<Integer, List<Waiter>> byRank = new TreeMap<>();
+    private final TreeMap<Integer, List<QueuedRequest>> byRank = new TreeMap<>();
     private final Map<Integer, Standing> standingByRank = new HashMap<>();
     private final int mostWaiting;
     private final Policy policy;
@@ -37,8 +37,8 @@
      *
      * @param mostWaiting requests that may wait; the next one pushes out the last of the lowest tier
      */
-    public WaitingLine(int mostWaiting) {
-        this(mostWaiting, Policy.WHOLE);
+    public RequestQueue(int mostWaiting) {
+        this(mostWaiting, Policy.ALL_ENABLED);
     }
 
     /**
@@ -47,7 +47,7 @@
      * @param mostWaiting requests that may wait
      * @param policy what is in use
      */
-    public WaitingLine(int mostWaiting, Policy policy) {
+    public RequestQueue(int mostWaiting, Policy policy) {
         this.mostWaiting = mostWaiting;
         this.policy = policy;
     }
@@ -67,7 +67,7 @@
      * @param tierRank rank
      * @return true when one would have to go first
      */
-    public boolean hasAhead(int tierRank) {
+    public boolean hasQueuedAhead(int tierRank) {
         return byRank.headMap(tierRank, true).values().stream().anyMatch(list -> !list.isEmpty());
     }
 
@@ -78,12 +78,12 @@
      * @param nowMillis steady time in milliseconds
      * @return those of higher tiers, and those of its own that can still be on time
      */
-    public int ahead(int tierRank, long nowMillis) {
+    public int queuedAhead(int tierRank, long nowMillis) {
         int ahead = 0;
-        for (List<Waiter> list : byRank.headMap(tierRank).values()) {
+        for (List<QueuedRequest> list : byRank.headMap(tierRank).values()) {
             ahead += list.size();
         }
-        for (Waiter waiter : byRank.getOrDefault(tierRank, List.of())) {
+        for (QueuedRequest waiter : byRank.getOrDefault(tierRank, List.of())) {
             ahead += nowMillis <= waiter.onTimeUntilMillis() ? 1 : 0;
         }
         return ahead;
@@ -96,7 +96,7 @@
      * @param nowMillis steady time in milliseconds
      * @return time in milliseconds; 0 when the line was worked off a moment ago
      */
-    public long standingMillis(int tierRank, long nowMillis) {
+    public long backlogAgeMillis(int tierRank, long nowMillis) {
         Standing standing = standingByRank.get(tierRank);
         return standing == null ? 0 : standing.millis(nowMillis);
     }
@@ -107,7 +107,7 @@
      * @param nowMillis steady time in milliseconds
      * @return time in milliseconds; 0 when all lines were worked off a moment ago
      */
-    public long standingMillis(long nowMillis) {
+    public long backlogAgeMillis(long nowMillis) {
         return standingByRank.values().stream()
                 .mapToLong(standing -> standing.millis(nowMillis))
                 .max()
@@ -121,11 +121,11 @@
      * @param nowMillis steady time in milliseconds
      * @return steady time in milliseconds
      */
-    public long keptUntilMillis(Waiter waiter, long nowMillis) {
-        return policy.uses(Mechanism.SHORT_STANDING_LINE)
-                        && standingMillis(waiter.tierRank(), nowMillis) >= STANDING_MILLIS
-                ? Math.min(waiter.patienceUntilMillis(), waiter.standingUntilMillis())
-                : waiter.patienceUntilMillis();
+    public long effectiveTimeoutAtMillis(QueuedRequest waiter, long nowMillis) {
+        return policy.isEnabled(Mechanism.SHORT_STANDING_LINE)
+                        && backlogAgeMillis(waiter.tierRank(), nowMillis) >= STANDING_MILLIS
+                ? Math.min(waiter.queueTimeoutAtMillis(), waiter.backlogTimeoutAtMillis())
+                : waiter.queueTimeoutAtMillis();
     }
 
     /**
@@ -134,7 +134,7 @@
      * @param waiter the request
      * @param nowMillis steady time in milliseconds
      */
-    public void add(Waiter waiter, long nowMillis) {
+    public void add(QueuedRequest waiter, long nowMillis) {
         byRank.computeIfAbsent(waiter.tierRank(), rank -> new ArrayList<>()).add(waiter);
         standingByRank
                 .computeIfAbsent(waiter.tierRank(), rank -> new Standing())
@@ -150,8 +150,8 @@
      *
      * @param waiter the request
      */
-    public void remove(Waiter waiter) {
-        List<Waiter> list = byRank.get(waiter.tierRank());
+    public void remove(QueuedRequest waiter) {
+        List<QueuedRequest> list = byRank.get(waiter.tierRank());
         if (list != null && list.remove(waiter)) {
             size--;
         }
@@ -167,27 +167,27 @@
      */
     public void advance(long nowMillis) {
         for (Integer rank : List.copyOf(byRank.keySet())) {
-            List<Waiter> current = byRank.put(rank, new ArrayList<>());
-            List<Waiter> staying = new ArrayList<>();
+            List<QueuedRequest> current = byRank.put(rank, new ArrayList<>());
+            List<QueuedRequest> staying = new ArrayList<>();
             size -= current.size();
-            if (policy.uses(Mechanism.ON_TIME_FIRST)) {
-                current.sort(Comparator.comparing((Waiter waiter) -> nowMillis > waiter.onTimeUntilMillis()));
+            if (policy.isEnabled(Mechanism.ON_TIME_FIRST)) {
+                current.sort(Comparator.comparing((QueuedRequest waiter) -> nowMillis > waiter.onTimeUntilMillis()));
             }
             // Waiters may add themselves again while they are tried, so the list under way is taken out first.
             Map<String, Integer> failures = new HashMap<>();
-            for (Waiter waiter : current) {
-                if (nowMillis >= waiter.patienceUntilMillis()) {
-                    waiter.refuse(nowMillis);
+            for (QueuedRequest waiter : current) {
+                if (nowMillis >= waiter.queueTimeoutAtMillis()) {
+                    waiter.reject(nowMillis);
                     continue;
                 }
-                boolean tried = failures.getOrDefault(waiter.needs(), 0) < MOST_FAILURES;
-                Attempt attempt = tried ? waiter.trySend(nowMillis) : Attempt.NO_TARGET;
-                if (tried && attempt == Attempt.NO_TARGET) {
-                    failures.merge(waiter.needs(), 1, Integer::sum);
+                boolean tried = failures.getOrDefault(waiter.requiredModel(), 0) < MOST_FAILURES;
+                DispatchResult attempt = tried ? waiter.tryDispatch(nowMillis) : DispatchResult.NO_TARGET;
+                if (tried && attempt == DispatchResult.NO_TARGET) {
+                    failures.merge(waiter.requiredModel(), 1, Integer::sum);
                 }
-                if (attempt == Attempt.NO_TARGET && nowMillis >= keptUntilMillis(waiter, nowMillis)) {
-                    waiter.refuse(nowMillis);
-                } else if (attempt.waits()) {
+                if (attempt == DispatchResult.NO_TARGET && nowMillis >= effectiveTimeoutAtMillis(waiter, nowMillis)) {
+                    waiter.reject(nowMillis);
+                } else if (attempt.stillQueued()) {
                     staying.add(waiter);
                 }
             }
@@ -200,11 +200,11 @@
     }
 
     private void evictLast(long nowMillis) {
-        for (List<Waiter> list : byRank.descendingMap().values()) {
+        for (List<QueuedRequest> list : byRank.descendingMap().values()) {
             if (!list.isEmpty()) {
-                Waiter last = list.remove(list.size() - 1);
+                QueuedRequest last = list.remove(list.size() - 1);
                 size--;
-                last.refuse(nowMillis);
+                last.reject(nowMillis);
                 return;
             }
         }
