--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/AnswerTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/AnswerTest.java
@@ -26,7 +26,7 @@
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.target(
                     "t", (request, socket) -> FakeTarget.write(socket, FakeTarget.answer(request, 200, "hello")));
-            fixture.catalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
             assertThat(answer, startsWith("HTTP/1.1 200"));
             assertThat(answer, endsWith("\r\n\r\nhello"));
@@ -46,7 +46,7 @@
             });
             fixture.target(
                     "u", (request, socket) -> FakeTarget.write(socket, FakeTarget.answer(request, 200, "twice")));
-            fixture.catalog(2, LONG_MILLIS);
+            fixture.publishCatalog(2, LONG_MILLIS);
             int runs = 0;
             for (int i = 0; i < 4; i++) {
                 int before = target.requests().size();
@@ -79,7 +79,7 @@
             };
             fixture.target("t", script);
             fixture.target("u", script);
-            fixture.catalog(2, LONG_MILLIS);
+            fixture.publishCatalog(2, LONG_MILLIS);
             assertThat(fixture.exchange(FrontFixture.request("GET", "/safe/x", "a", true)), endsWith("hello"));
             assertThat(sent.get(), is(2));
         }
@@ -93,10 +93,10 @@
     void secondAnswerNeverReachesTheNextCaller() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.target("t", (request, socket) -> {
-                FakeTarget.write(socket, FakeTarget.answer(request, 200, "own-" + FakeTarget.attempt(request)));
-                FakeTarget.write(socket, FakeTarget.answer(request, 200, "extra-" + FakeTarget.attempt(request)));
+                FakeTarget.write(socket, FakeTarget.answer(request, 200, "own-" + FakeTarget.attemptId(request)));
+                FakeTarget.write(socket, FakeTarget.answer(request, 200, "extra-" + FakeTarget.attemptId(request)));
             });
-            fixture.catalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_MILLIS);
             for (int i = 0; i < 20; i++) {
                 String answer = fixture.exchange(FrontFixture.request("GET", "/safe/x", "a" + i, true));
                 assertThat(answer, endsWith("own-a" + i));
@@ -115,7 +115,7 @@
                     "t",
                     (request, socket) -> FakeTarget.write(
                             socket, FakeTarget.answer(request, 200, "12345").replace("12345", "")));
-            fixture.catalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_MILLIS);
             for (int i = 0; i < 2; i++) {
                 String answer = fixture.exchange(FrontFixture.request("HEAD", "/safe/x", "a" + i, true));
                 assertThat(answer, startsWith("HTTP/1.1 200"));
@@ -128,9 +128,9 @@
     @Test
     void answerThatIsTooLongIsNotCutShort() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
-            String body = "x".repeat(Front.MOST_ANSWER_BYTES + 1);
+            String body = "x".repeat(Front.MAX_ANSWER_BYTES + 1);
             fixture.target("t", (request, socket) -> FakeTarget.write(socket, FakeTarget.answer(request, 200, body)));
-            fixture.catalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
             assertThat(answer.substring(0, 12), is("HTTP/1.1 502"));
         }
@@ -153,7 +153,7 @@
             };
             fixture.target("u", sound);
             fixture.target("v", sound);
-            fixture.catalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_MILLIS);
             for (int i = 0; i < 60; i++) {
                 fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a" + i, true));
             }
@@ -169,11 +169,11 @@
     void oneHungRequestDoesNotKeepATargetOut() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             FakeTarget target = fixture.target("t", (request, socket) -> {
-                if (!"hung".equals(FakeTarget.attempt(request))) {
+                if (!"hung".equals(FakeTarget.attemptId(request))) {
                     FakeTarget.write(socket, FakeTarget.answer(request, 200, "whole"));
                 }
             });
-            fixture.catalog(1, 30_000);
+            fixture.publishCatalog(1, 30_000);
             try (Socket hung = fixture.connect()) {
                 FakeTarget.write(hung, FrontFixture.request("POST", "/unsafe/x", "hung", false));
                 while (target.requests().isEmpty()) {
@@ -203,7 +203,7 @@
                     "t",
                     (request, socket) -> FakeTarget.write(
                             socket, FakeTarget.answer(request, 200, "forged").replace("Signed: yes\r\n", "")));
-            fixture.catalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
             assertThat(answer, startsWith("HTTP/1.1 502"));
             assertThat(answer, not(containsString("forged")));
@@ -221,7 +221,7 @@
                     "t",
                     (request, socket) -> FakeTarget.write(
                             socket, FakeTarget.answer(request, 503, "").replace("Signed", "Not-Run: 1\r\nSigned")));
-            fixture.catalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
             assertThat(answer, startsWith("HTTP/1.1 503"));
             assertThat(answer.toLowerCase(Locale.ROOT), containsString("retry-after:"));
@@ -236,7 +236,7 @@
     void resumableStreamGoesOnAtAnotherTarget() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             FakeTarget.Script script = (request, socket) -> {
-                String head = "HTTP/1.1 200 X\r\nAttempt: " + FakeTarget.attempt(request)
+                String head = "HTTP/1.1 200 X\r\nAttempt: " + FakeTarget.attemptId(request)
                         + "\r\nSigned: yes\r\nTransfer-Encoding: chunked\r\n\r\n";
                 if (request.toLowerCase(Locale.ROOT).contains("resume-after: 2")) {
                     FakeTarget.write(socket, head + FakeTarget.chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n");
@@ -251,7 +251,7 @@
             };
             fixture.target("t", script);
             fixture.target("u", script);
-            fixture.catalog(2, LONG_MILLIS);
+            fixture.publishCatalog(2, LONG_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/resumable/x", "a", true));
             String events = answer.replaceAll("(?m)^[0-9a-f]+\r\n|\r\n", "");
             assertThat(events, endsWith("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"));
@@ -269,7 +269,7 @@
                                 + FakeTarget.chunk("id: 1\ndata: a\n\n"));
                 socket.close();
             });
-            fixture.catalog(2, LONG_MILLIS);
+            fixture.publishCatalog(2, LONG_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/stream/x", "a", true));
             assertThat(answer, not(containsString("\r\n0\r\n\r\n")));
             assertThat(target.requests(), hasSize(1));
@@ -281,14 +281,14 @@
     void leavingCallerStopsTheTarget() throws IOException, InterruptedException {
         try (FrontFixture fixture = new FrontFixture()) {
             FakeTarget target = fixture.target("t", (request, socket) -> {});
-            fixture.catalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_MILLIS);
             try (Socket socket = fixture.connect()) {
                 FakeTarget.write(socket, FrontFixture.request("POST", "/stream/x", "a", false));
                 while (target.requests().isEmpty()) {
                     Thread.onSpinWait();
                 }
             }
-            assertThat(target.closed().poll(LONG_MILLIS / 2, TimeUnit.MILLISECONDS), notNullValue());
+            assertThat(target.closedConnections().poll(LONG_MILLIS / 2, TimeUnit.MILLISECONDS), notNullValue());
         }
     }
 
@@ -299,7 +299,7 @@
     void timeoutOfTheRouteEndsTheWait() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.target("t", (request, socket) -> {});
-            fixture.catalog(1, 300);
+            fixture.publishCatalog(1, 300);
             String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
             assertThat(answer, startsWith("HTTP/1.1 504"));
         }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/CoordinationTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/CoordinationTest.java
@@ -22,14 +22,14 @@
 
     private final List<FrontFixture> fronts = new ArrayList<>();
 
-    private void startFleet(long coordinatorSilentMillis) throws Exception {
-        fronts.add(new FrontFixture(List.of(), coordinatorSilentMillis));
+    private void startFleet(long coordinatorTimeoutMillis) throws Exception {
+        fronts.add(new FrontFixture(List.of(), coordinatorTimeoutMillis));
         while (fronts.size() < FRONTS) {
-            fronts.add(new FrontFixture(List.of(fronts.get(0).ip()), coordinatorSilentMillis));
+            fronts.add(new FrontFixture(List.of(fronts.get(0).ip()), coordinatorTimeoutMillis));
         }
-        fronts.forEach(front -> front.catalog(2, TIMEOUT_MILLIS, true, OBJECTIVE_MILLIS));
+        fronts.forEach(front -> front.publishCatalog(2, TIMEOUT_MILLIS, true, OBJECTIVE_MILLIS));
         for (FrontFixture front : fronts) {
-            FrontFixture.await(() -> front.addresses() == FRONTS);
+            FrontFixture.await(() -> front.advertisedFronts() == FRONTS);
         }
     }
 
@@ -75,7 +75,7 @@
         FrontFixture coordinator =
                 fronts.stream().filter(front -> coordinates(front)).findFirst().orElseThrow();
         fronts.remove(coordinator);
-        coordinator.stopWithoutAWord();
+        coordinator.kill();
         for (FrontFixture front : fronts) {
             String answer = front.exchange(FrontFixture.request("POST", "/unsafe/x", "after-" + front.ip(), true));
             assertThat(answer, startsWith("HTTP/1.1 200"));
@@ -95,13 +95,13 @@
     private int waitingTogether() {
         int[] sum = new int[1];
         fronts.forEach(
-                front -> front.run(() -> sum[0] += front.front().coordination().waiting()));
+                front -> front.run(() -> sum[0] += front.front().coordination().queuedRequests()));
         return sum[0];
     }
 
     private static boolean coordinates(FrontFixture front) {
         boolean[] own = new boolean[1];
-        front.run(() -> own[0] = !front.front().coordination().asksElsewhere("service"));
+        front.run(() -> own[0] = !front.front().coordination().hasRemoteCoordinator("service"));
         return own[0];
     }
 }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FakeTarget.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FakeTarget.java
@@ -22,7 +22,7 @@
     private final ServerSocket server;
     private final Script script;
     private final List<String> requests = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<String> closed = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
 
     FakeTarget(String ip, Script script) throws IOException {
         this.script = script;
@@ -42,8 +42,8 @@
     }
 
     /** Connections that the other side closed, in order. */
-    BlockingQueue<String> closed() {
-        return closed;
+    BlockingQueue<String> closedConnections() {
+        return closedConnections;
     }
 
     /** Writes text as it is. */
@@ -55,7 +55,7 @@
 
     /** Makes a whole signed answer. */
     static String answer(String request, int status, String body) {
-        return "HTTP/1.1 " + status + " X\r\nAttempt: " + attempt(request) + "\r\nSigned: yes\r\nContent-Length: "
+        return "HTTP/1.1 " + status + " X\r\nAttempt: " + attemptId(request) + "\r\nSigned: yes\r\nContent-Length: "
                 + body.length() + "\r\n\r\n" + body;
     }
 
@@ -65,7 +65,7 @@
     }
 
     /** Returns the attempt that a request names. */
-    static String attempt(String request) {
+    static String attemptId(String request) {
         for (String line : request.split("\r\n")) {
             if (line.regionMatches(true, 0, "Attempt:", 0, 8)) {
                 return line.substring(8).trim();
@@ -101,7 +101,7 @@
         } catch (IOException e) {
             last = last + e.getMessage();
         }
-        closed.add(last);
+        closedConnections.add(last);
     }
 
     private static String readHead(InputStream in) throws IOException {
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FleetTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FleetTest.java
@@ -25,9 +25,9 @@
     void frontsNameEachOtherToCallers() throws Exception {
         try (FrontFixture one = new FrontFixture();
                 FrontFixture two = new FrontFixture(List.of(one.ip()))) {
-            one.catalog(1, 1_000);
-            two.catalog(1, 1_000);
-            FrontFixture.await(() -> one.addresses() == 2 && two.addresses() == 2);
+            one.publishCatalog(1, 1_000);
+            two.publishCatalog(1, 1_000);
+            FrontFixture.await(() -> one.advertisedFronts() == 2 && two.advertisedFronts() == 2);
         }
     }
 
@@ -61,16 +61,17 @@
                 FrontFixture.awaitLatch(answerNow);
                 FakeTarget.write(socket, FakeTarget.answer(request, 200, "whole"));
             });
-            one.catalog(1, 15_000);
-            two.catalog(1, 1_000);
-            FrontFixture.await(() -> two.addresses() == 2);
+            one.publishCatalog(1, 15_000);
+            two.publishCatalog(1, 1_000);
+            FrontFixture.await(() -> two.advertisedFronts() == 2);
             try (Socket early = one.connect()) {
                 FakeTarget.write(early, FrontFixture.request("POST", "/unsafe/x", "a", false));
                 FrontFixture.await(() -> target.requests().size() == 1);
                 CountDownLatch ended = new CountDownLatch(1);
-                one.front().whenEnded(ended::countDown);
+                one.front().onStopped(ended::countDown);
                 one.front().stop();
-                FrontFixture.await(() -> two.addresses() == 1 && !one.front().ready());
+                FrontFixture.await(
+                        () -> two.advertisedFronts() == 1 && !one.front().ready());
                 answerNow.countDown();
                 assertThat(FrontFixture.readAll(early), endsWith("whole"));
                 String late = one.exchange(FrontFixture.request("POST", "/unsafe/x", "b", false));
@@ -85,12 +86,12 @@
     @Test
     void silentFrontIsNamedNoMore() throws Exception {
         try (FrontFixture two = new FrontFixture()) {
-            two.catalog(1, 1_000);
+            two.publishCatalog(1, 1_000);
             try (FrontFixture one = new FrontFixture(List.of(two.ip()))) {
-                one.catalog(1, 1_000);
-                FrontFixture.await(() -> two.addresses() == 2);
+                one.publishCatalog(1, 1_000);
+                FrontFixture.await(() -> two.advertisedFronts() == 2);
             }
-            FrontFixture.await(() -> two.addresses() == 1);
+            FrontFixture.await(() -> two.advertisedFronts() == 1);
             assertThat(two.front().callerAddresses(64), contains(startsWith(two.ip() + ":")));
         }
     }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FrontFixture.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FrontFixture.java
@@ -52,10 +52,10 @@
     }
 
     /** Does the same with another patience for coordinators that do not answer. */
-    FrontFixture(List<String> seedIps, long coordinatorSilentMillis) {
+    FrontFixture(List<String> seedIps, long coordinatorTimeoutMillis) {
         front = new Front(
                 ImmutableFrontSettings.builder()
-                        .coordinatorSilentMillis(coordinatorSilentMillis)
+                        .coordinatorTimeoutMillis(coordinatorTimeoutMillis)
                         .name("front-" + ip)
                         .ip(ip)
                         .dataCentre("zilina-a")
@@ -116,17 +116,17 @@
     }
 
     /** Publishes routes for all kinds of requests and waits until callers are accepted. */
-    void catalog(int attempts, long timeoutMillis) {
-        catalog(attempts, timeoutMillis, false);
+    void publishCatalog(int attempts, long timeoutMillis) {
+        publishCatalog(attempts, timeoutMillis, false);
     }
 
     /** Does the same for a service whose targets are engines, if so asked. */
-    void catalog(int attempts, long timeoutMillis, boolean engine) {
-        catalog(attempts, timeoutMillis, engine, 200);
+    void publishCatalog(int attempts, long timeoutMillis, boolean engine) {
+        publishCatalog(attempts, timeoutMillis, engine, 200);
     }
 
     /** Does the same with another objective, on which it depends how long requests wait. */
-    void catalog(int attempts, long timeoutMillis, boolean engine, long objectiveMillis) {
+    void publishCatalog(int attempts, long timeoutMillis, boolean engine, long objectiveMillis) {
         List<Route> routes = List.of(
                 route("/safe/", RouteKind.SAFE, attempts, timeoutMillis, objectiveMillis, false),
                 route("/unsafe/", RouteKind.UNSAFE, attempts, timeoutMillis, objectiveMillis, false),
@@ -227,7 +227,7 @@
     }
 
     /** Returns how many fronts this one names to callers. */
-    int addresses() {
+    int advertisedFronts() {
         int[] count = new int[1];
         run(() -> count[0] = front.callerAddresses(64).size());
         return count[0];
@@ -262,7 +262,7 @@
     }
 
     /** Ends the process's thread at once, as a kill does; nobody is told. */
-    void stopWithoutAWord() {
+    void kill() {
         front.loop().shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/LateCloseTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/LateCloseTest.java
@@ -26,7 +26,7 @@
     void startFront() throws IOException {
         front = new FrontFixture();
         target = new FakeTarget("127.0.0.1", (request, socket) -> {
-            if (FakeTarget.attempt(request).equals("slow")) {
+            if (FakeTarget.attemptId(request).equals("slow")) {
                 FrontFixture.awaitLatch(answerNow);
             }
             FakeTarget.write(socket, FakeTarget.answer(request, 200, "whole"));
@@ -42,7 +42,7 @@
     /** Guards against sending a request on whose caller closed its connection before the request was read. */
     @Test
     void requestAndCloseThatAreReadTogetherReachNoTarget() throws Exception {
-        front.catalog(2, TIMEOUT_MILLIS);
+        front.publishCatalog(2, TIMEOUT_MILLIS);
         front.publish("target", "127.0.0.1", target.port(), 8);
         try (Socket caller = front.connect()) {
             FakeTarget.write(caller, FrontFixture.request("POST", "/safe/x", "first", false));
@@ -59,7 +59,7 @@
     /** Guards against giving a freed slot to a request whose caller's close waits to be read behind it. */
     @Test
     void slotThatIsFreedBesideACloseGoesToTheNext() throws Exception {
-        front.catalog(2, TIMEOUT_MILLIS, true, OBJECTIVE_MILLIS);
+        front.publishCatalog(2, TIMEOUT_MILLIS, true, OBJECTIVE_MILLIS);
         front.publish("engine", "127.0.0.1", target.port(), 1);
         try (Socket first = front.connect();
                 Socket caller = front.connect()) {
@@ -97,11 +97,11 @@
 
     private int waiting() {
         int[] count = new int[1];
-        front.run(() -> count[0] = front.front().coordination().waiting());
+        front.run(() -> count[0] = front.front().coordination().queuedRequests());
         return count[0];
     }
 
     private List<String> attempts() {
-        return target.requests().stream().map(FakeTarget::attempt).toList();
+        return target.requests().stream().map(FakeTarget::attemptId).toList();
     }
 }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/MalformedRequestTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/MalformedRequestTest.java
@@ -36,7 +36,7 @@
         try (FrontFixture fixture = new FrontFixture()) {
             FakeTarget target =
                     fixture.target("t", (head, socket) -> FakeTarget.write(socket, FakeTarget.answer(head, 200, "")));
-            fixture.catalog(1, TIMEOUT_MILLIS);
+            fixture.publishCatalog(1, TIMEOUT_MILLIS);
             String answer = fixture.exchange(request.replace("~", "\r\n"));
             assertThat(answer, startsWith("HTTP/1.1 " + status));
             assertThat(target.requests(), empty());
@@ -46,7 +46,7 @@
     @Test
     void hugeHeadIsRefused() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
-            fixture.catalog(1, TIMEOUT_MILLIS);
+            fixture.publishCatalog(1, TIMEOUT_MILLIS);
             String answer =
                     fixture.exchange("GET /safe/x HTTP/1.1\r\nHost: h\r\nAttempt: " + "a".repeat(40_000) + "\r\n\r\n");
             assertThat(answer, startsWith("HTTP/1.1 431"));
@@ -62,8 +62,8 @@
             FakeTarget target = fixture.target(
                     "t",
                     (head, answering) -> FakeTarget.write(
-                            answering, FakeTarget.answer(head, 200, "own-" + FakeTarget.attempt(head))));
-            fixture.catalog(1, TIMEOUT_MILLIS);
+                            answering, FakeTarget.answer(head, 200, "own-" + FakeTarget.attemptId(head))));
+            fixture.publishCatalog(1, TIMEOUT_MILLIS);
             String both = FrontFixture.request("GET", "/safe/x", "a", false)
                     + FrontFixture.request("GET", "/safe/x", "b", true);
             String answers = fixture.exchange(both);
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/SilenceWatchTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/SilenceWatchTest.java
@@ -19,26 +19,26 @@
     @Test
     void engineThatWasPredictedToBeSlowMayBeSilentForLonger() {
         SilenceWatch watch = new SilenceWatch(OBJECTIVE_MILLIS, 900, 0);
-        assertThat(watch.beginsToBeSilent(entry, false, 2_500), is(false));
-        assertThat(watch.stuck(false, 2_500), is(false));
-        assertThat(watch.stuck(false, 3_601), is(true));
+        assertThat(watch.targetBecameSilent(entry, false, 2_500), is(false));
+        assertThat(watch.requestStalled(false, 2_500), is(false));
+        assertThat(watch.requestStalled(false, 3_601), is(true));
     }
 
     @Test
     void silenceIsToldOnce() {
         SilenceWatch watch = new SilenceWatch(OBJECTIVE_MILLIS, 100, 0);
-        assertThat(watch.beginsToBeSilent(entry, false, 2_000), is(false));
-        assertThat(watch.beginsToBeSilent(entry, false, 2_001), is(true));
-        assertThat(watch.beginsToBeSilent(entry, false, 2_100), is(false));
+        assertThat(watch.targetBecameSilent(entry, false, 2_000), is(false));
+        assertThat(watch.targetBecameSilent(entry, false, 2_001), is(true));
+        assertThat(watch.targetBecameSilent(entry, false, 2_100), is(false));
     }
 
     /** The target answers another request of this front; this one may still be lost, but the target is not. */
     @Test
     void targetThatSpeaksWithAnotherRequestIsNotSilent() {
         SilenceWatch watch = new SilenceWatch(OBJECTIVE_MILLIS, 100, 0);
-        entry.spoke(1_900);
-        assertThat(watch.beginsToBeSilent(entry, false, 2_500), is(false));
-        assertThat(watch.stuck(false, 2_500), is(true));
+        entry.bytesReceived(1_900);
+        assertThat(watch.targetBecameSilent(entry, false, 2_500), is(false));
+        assertThat(watch.requestStalled(false, 2_500), is(true));
     }
 
     private static ImmutableTarget target() {
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/StartTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/StartTest.java
@@ -20,7 +20,7 @@
                 Socket caller = fixture.connect()) {
             fixture.target(
                     "t", (request, socket) -> FakeTarget.write(socket, FakeTarget.answer(request, 200, "hello")));
-            fixture.catalog(1, 5_000);
+            fixture.publishCatalog(1, 5_000);
             FakeTarget.write(caller, FrontFixture.request("GET", "/safe/x", "a", true));
             assertThat(FrontFixture.readAll(caller), startsWith("HTTP/1.1 200"));
         }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/StreamEndTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/StreamEndTest.java
@@ -33,10 +33,10 @@
                     "t",
                     (request, socket) -> FakeTarget.write(
                             socket,
-                            "HTTP/1.1 200 X\r\nAttempt: " + FakeTarget.attempt(request)
+                            "HTTP/1.1 200 X\r\nAttempt: " + FakeTarget.attemptId(request)
                                     + "\r\nSigned: yes\r\nTransfer-Encoding: chunked\r\n\r\n"
                                     + FakeTarget.chunk("id: 1\ndata: a\n\nid: 2\nda") + "0\r\n\r\n"));
-            fixture.catalog(1, DEADLINE_MILLIS);
+            fixture.publishCatalog(1, DEADLINE_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/resumable/x", "a", true));
             assertThat(answer, containsString("data: a"));
             assertThat(answer, not(containsString("\r\n0\r\n\r\n")));
@@ -53,7 +53,7 @@
             for (int target = 0; target < TARGETS; target++) {
                 fixture.target("t" + target, StreamEndTest::answerInEvents);
             }
-            fixture.catalog(1, DEADLINE_MILLIS);
+            fixture.publishCatalog(1, DEADLINE_MILLIS);
             ExecutorService callers = Executors.newFixedThreadPool(CALLERS);
             List<Future<?>> results = new ArrayList<>();
             for (int caller = 0; caller < CALLERS; caller++) {
@@ -93,7 +93,7 @@
     }
 
     private static void answerInEvents(String request, Socket socket) throws IOException {
-        String attempt = FakeTarget.attempt(request);
+        String attempt = FakeTarget.attemptId(request);
         FakeTarget.write(
                 socket,
                 "HTTP/1.1 200 X\r\nAttempt: " + attempt + "\r\nSigned: yes\r\nTransfer-Encoding: chunked\r\n\r\n");
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/AdmissionControl.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/AdmissionControl.java
@@ -54,7 +54,7 @@
     Result decide(RequestHead head, long nowMillis) {
         Optional<Catalog> catalog = front.catalog();
         if (catalog.isEmpty()) {
-            return refused(ErrorKind.NOT_READY, Front.NOT_READY_COME_BACK_MILLIS, Optional.empty());
+            return refused(ErrorKind.NOT_READY, Front.NOT_READY_RETRY_AFTER_MILLIS, Optional.empty());
         }
         Optional<Route> found = catalog.get().route(head.authority(), head.path());
         if (found.isEmpty()) {
@@ -67,7 +67,7 @@
         }
         long tokens = tokens(head, organisation);
         String service = route.serviceOf(head.attemptId());
-        boolean elsewhere = organisation.isPresent() && front.coordination().asksElsewhere(service);
+        boolean elsewhere = organisation.isPresent() && front.coordination().hasRemoteCoordinator(service);
         Optional<ErrorResponse> refusal =
                 elsewhere ? Optional.empty() : takeQuota(organisation, service, tokens, nowMillis);
         if (refusal.isPresent()) {
@@ -84,11 +84,11 @@
         }
         long comeBackMillis = front.quotas().comeBackMillis(organisation.get().name());
         return Optional.of(
-                new ErrorResponse(ErrorKind.OVER_QUOTA, Math.max(comeBackMillis, Front.NOT_READY_COME_BACK_MILLIS)));
+                new ErrorResponse(ErrorKind.OVER_QUOTA, Math.max(comeBackMillis, Front.NOT_READY_RETRY_AFTER_MILLIS)));
     }
 
     private boolean admit(String organisation, String service, long tokens, long nowMillis) {
-        return front.coordination().coordinates(service)
+        return front.coordination().isLocalCoordinator(service)
                 ? front.quotas().tryAdmit(organisation, tokens, nowMillis)
                 : front.quotas().tryAdmitAlone(organisation, tokens, nowMillis);
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerAcceptor.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerAcceptor.java
@@ -57,7 +57,7 @@
                         server = registered.channel();
                         whenAccepting.run();
                     } else {
-                        FrontLog.dutyFailed("accept callers", registered.cause());
+                        FrontLog.taskFailed("accept callers", registered.cause());
                     }
                 });
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
@@ -65,8 +65,8 @@
     private int possibleRuns;
     private boolean quotaTaken;
     private PlacementTicket ticket;
-    private TargetVisit visit;
-    private TargetLink link;
+    private TargetRun visit;
+    private TargetConnection link;
     private SilenceWatch silence;
     private ResponseAssembler answer;
 
@@ -121,9 +121,9 @@
     }
 
     private void place(long nowMillis) {
-        if (front.coordination().covers(service)) {
+        if (front.coordination().isCoordinated(service)) {
             stage = Stage.ASKING;
-            front.coordination().ask(service, this);
+            front.coordination().requestPlacement(service, this);
         } else {
             placeHere(nowMillis);
         }
@@ -131,11 +131,11 @@
 
     private void placeHere(long nowMillis) {
         stage = Stage.WAITING;
-        if (!front.lines().of(service).hasQueuedAhead(tierRank)
+        if (!front.localQueues().queueOf(service).hasQueuedAhead(tierRank)
                 && !tryDispatch(nowMillis).stillQueued()) {
             return;
         }
-        front.lines().of(service).add(this, nowMillis);
+        front.localQueues().queueOf(service).add(this, nowMillis);
     }
 
     private Demand demand(long nowMillis) {
@@ -153,9 +153,9 @@
     }
 
     @Override
-    public PlacementAsk ask(long id) {
+    public PlacementAsk placementRequest(long id) {
         long nowMillis = front.nowMillis();
-        return PlacementMessages.ask(
+        return PlacementMessages.placementRequest(
                 id,
                 demand(nowMillis),
                 patienceUntilMillis - nowMillis,
@@ -165,7 +165,7 @@
     }
 
     @Override
-    public void asked(PlacementTicket asked) {
+    public void ticketIssued(PlacementTicket asked) {
         ticket = asked;
     }
 
@@ -186,12 +186,12 @@
 
     @Override
     public void overQuota(RejectionDetails grounds) {
-        long comeBackMillis = Math.max(grounds.retryAfterMillis(), Front.NOT_READY_COME_BACK_MILLIS);
+        long comeBackMillis = Math.max(grounds.retryAfterMillis(), Front.NOT_READY_RETRY_AFTER_MILLIS);
         refuse(new ErrorResponse(ErrorKind.OVER_QUOTA, comeBackMillis, Optional.of(grounds)));
     }
 
     @Override
-    public void noCoordinator() {
+    public void coordinatorUnavailable() {
         Optional<ErrorResponse> refusal = quotaTaken
                 ? Optional.empty()
                 : front.admission().takeQuota(organisation, service, quotaTokens, front.nowMillis());
@@ -231,19 +231,19 @@
 
     @Override
     public DispatchResult tryDispatch(long nowMillis) {
-        Optional<Candidate> chosen = front.choose(demand(nowMillis), nowMillis);
+        Optional<Candidate> chosen = front.chooseLocally(demand(nowMillis), nowMillis);
         if (chosen.isEmpty()) {
             return DispatchResult.NO_TARGET;
         }
         Candidate candidate = chosen.get();
         candidate.recordDispatch(nowMillis);
-        connect(candidate, front.coordination().placedHere(service, candidate), nowMillis);
+        connect(candidate, front.coordination().placedLocally(service, candidate), nowMillis);
         return DispatchResult.SENT;
     }
 
     @Override
     public void reject(long nowMillis) {
-        refuseUnplaced(front.lines().comeBackMillis(service), Optional.empty());
+        refuseUnplaced(front.localQueues().retryAfterMillis(service), Optional.empty());
     }
 
     private void refuseUnplaced(long comeBackMillis, Optional<RejectionDetails> grounds) {
@@ -255,16 +255,16 @@
         stage = Stage.CONNECTING;
         ticket = placement;
         String targetId = chosen.state().target().id();
-        visit = new TargetVisit(front.entry(targetId), chosen, placement);
+        visit = new TargetRun(front.entry(targetId), chosen, placement);
         front.prompts().reads(head.promptParts(), targetId, nowMillis);
         visit.entry().pool().acquire(!route.idempotent(), this::connected);
     }
 
-    private void connected(Optional<TargetLink> acquired) {
+    private void connected(Optional<TargetConnection> acquired) {
         long nowMillis = front.nowMillis();
-        TargetVisit current = visit;
+        TargetRun current = visit;
         if (stage != Stage.CONNECTING) {
-            acquired.ifPresent(unused -> current.entry().pool().giveBack(unused));
+            acquired.ifPresent(unused -> current.entry().pool().release(unused));
             return;
         }
         if (acquired.isEmpty()) {
@@ -274,14 +274,14 @@
             return;
         }
         if (deadlineAtMillis - nowMillis < SHORTEST_USEFUL_MILLIS || !front.mayReceive(current.entry())) {
-            current.entry().pool().giveBack(acquired.get());
+            current.entry().pool().release(acquired.get());
             leaveTarget(RunEvent.RUN_GIVEN_UP);
             place(nowMillis);
             return;
         }
         if (!caller.callerStays()) {
             // The connection's end, which is about to be told, ends this exchange too.
-            current.entry().pool().giveBack(acquired.get());
+            current.entry().pool().release(acquired.get());
             return;
         }
         link = acquired.get();
@@ -299,7 +299,7 @@
         Optional<String> resumeAfter = answer.streamBegun() ? answer.lastEventId() : head.lastEventId();
         DispatchParameters dispatch = new DispatchParameters(
                 target.id(), organisation.map(Organisation::name), deadlineAtMillis - nowMillis, resumeAfter);
-        front.metrics().waited(route.kind(), nowMillis - arrivedAtMillis);
+        front.metrics().recordQueueTime(route.kind(), nowMillis - arrivedAtMillis);
         FrontLog.sent(this, target, nowMillis - arrivedAtMillis, visit.candidate());
         link.send(front.dialect().targetRequest(request, dispatch), body, head.attemptId(), this);
     }
@@ -317,23 +317,23 @@
     public void content(ByteBuf piece) {
         noteBytes();
         if (answer.content(piece) && !caller.writable()) {
-            link.reading(false);
+            link.setReading(false);
         }
     }
 
     void callerWritabilityChanged(boolean writable) {
         if (link != null && stage == Stage.SENT) {
-            link.reading(writable);
+            link.setReading(writable);
         }
     }
 
     private void noteBytes() {
         long nowMillis = front.nowMillis();
-        silence.bytesCame(nowMillis);
-        visit.entry().spoke(nowMillis);
-        if (!visit.firstByteSeen()) {
+        silence.bytesReceived(nowMillis);
+        visit.entry().bytesReceived(nowMillis);
+        if (!visit.firstByteReceived()) {
             visit.firstByte(nowMillis);
-            front.metrics().firstByte(route.kind(), visit.firstByteMillis());
+            front.metrics().recordFirstByte(route.kind(), visit.firstByteMillis());
         }
     }
 
@@ -372,8 +372,8 @@
             deliver();
             return;
         }
-        front.metrics().repeated();
-        FrontLog.repeated(this, visit.entry().state().target(), "status " + answer.status());
+        front.metrics().retried();
+        FrontLog.retried(this, visit.entry().state().target(), "status " + answer.status());
         answer.reset();
         place(nowMillis);
     }
@@ -399,7 +399,7 @@
 
     /** Ends the caller's connection, since an answer that began can't be completed. */
     private void breakOff(TruncationCause cause) {
-        front.metrics().answerCut(cause);
+        front.metrics().streamTruncated(cause);
         caller.breakOff();
     }
 
@@ -414,8 +414,8 @@
     private void failedAfterSend(TargetFailure failure, long nowMillis) {
         answer.reset();
         if (canRepeat(nowMillis)) {
-            front.metrics().repeated();
-            FrontLog.repeated(this, visit.entry().state().target(), failure.name());
+            front.metrics().retried();
+            FrontLog.retried(this, visit.entry().state().target(), failure.name());
             patienceUntilMillis = Math.max(patienceUntilMillis, nowMillis + route.objectiveMillis());
             place(nowMillis);
             return;
@@ -449,7 +449,7 @@
             breakOff(TruncationCause.TARGET_LOST);
         } else {
             ErrorKind kind = perhapsRun() ? ErrorKind.TARGET_LOST : ErrorKind.TARGET_REFUSED;
-            refuse(new ErrorResponse(kind, front.lines().comeBackMillis(service)));
+            refuse(new ErrorResponse(kind, front.localQueues().retryAfterMillis(service)));
         }
     }
 
@@ -460,7 +460,7 @@
     private void leaveTarget(RunEvent event) {
         if (visit != null) {
             visit.end(event, 0, front.nowMillis());
-            front.lines().placeFreed(service);
+            front.localQueues().slotFreed(service);
         }
     }
 
@@ -474,17 +474,17 @@
             return;
         }
         if (stage == Stage.ASKING && nowMillis > patienceUntilMillis + COORDINATOR_MARGIN_MILLIS) {
-            refuseUnplaced(front.lines().comeBackMillis(service), Optional.empty());
+            refuseUnplaced(front.localQueues().retryAfterMillis(service), Optional.empty());
             return;
         }
         if (stage != Stage.SENT) {
             return;
         }
-        if (silence.beginsToBeSilent(visit.entry(), answer.streamBegun(), nowMillis) && !visit.stalled()) {
+        if (silence.targetBecameSilent(visit.entry(), answer.streamBegun(), nowMillis) && !visit.stalled()) {
             front.targetFailed(visit.entry(), TargetFailure.SILENT);
         }
-        boolean stuck = silence.stuck(answer.streamBegun(), nowMillis);
-        if (stuck && route.idempotent() && sends < route.attempts() && front.hasOther(service, tried)) {
+        boolean stuck = silence.requestStalled(answer.streamBegun(), nowMillis);
+        if (stuck && route.idempotent() && sends < route.attempts() && front.hasUntriedTarget(service, tried)) {
             link.cancel();
             link = null;
             leaveTarget(RunEvent.RUN_SILENT);
@@ -494,7 +494,7 @@
 
     private void timedOut() {
         if (stage == Stage.WAITING) {
-            front.lines().of(service).remove(this);
+            front.localQueues().queueOf(service).remove(this);
         }
         if (answer.streamBegun()) {
             FrontLog.ended(this, entry(), "timed-out", answer.status(), ageMillis());
@@ -508,7 +508,8 @@
         refuse(
                 sent
                         ? new ErrorResponse(ErrorKind.DEADLINE_RUNNING, 0)
-                        : new ErrorResponse(ErrorKind.HOPELESS, front.lines().comeBackMillis(service)));
+                        : new ErrorResponse(
+                                ErrorKind.HOPELESS, front.localQueues().retryAfterMillis(service)));
     }
 
     /**
@@ -521,14 +522,14 @@
             return;
         }
         if (stage == Stage.WAITING && route != null) {
-            front.lines().of(service).remove(this);
+            front.localQueues().queueOf(service).remove(this);
         }
         abandonTarget();
         if (route != null) {
             FrontLog.callerLeft(this, entry(), closeCause, ageMillis());
         }
         if (answer != null && answer.streamBegun()) {
-            front.metrics().answerCut(TruncationCause.CALLER_LEFT);
+            front.metrics().streamTruncated(TruncationCause.CALLER_LEFT);
         }
         end();
     }
@@ -572,7 +573,9 @@
 
     /** Returns the time from the last sending to the first byte of its answer, if that came. */
     OptionalLong firstByteMillis() {
-        return visit != null && visit.firstByteSeen() ? OptionalLong.of(visit.firstByteMillis()) : OptionalLong.empty();
+        return visit != null && visit.firstByteReceived()
+                ? OptionalLong.of(visit.firstByteMillis())
+                : OptionalLong.empty();
     }
 
     String service() {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerPort.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerPort.java
@@ -51,7 +51,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            FrontLog.dutyFailed("close the port of callers", e);
+            FrontLog.taskFailed("close the port of callers", e);
         }
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
@@ -61,7 +61,7 @@
 
     private final FrontSettings settings;
     private final MemberTable members;
-    private final Targets targets;
+    private final TargetRegistry targets;
     private final PeerDatagrams datagrams;
     private final Ticker ticker;
     private final Coordinator coordinator;
@@ -89,7 +89,7 @@
     Coordination(
             FrontSettings settings,
             MemberTable members,
-            Targets targets,
+            TargetRegistry targets,
             PeerDatagrams datagrams,
             Ticker ticker,
             Function<DecisionListener, Coordinator> coordinators,
@@ -106,19 +106,19 @@
     }
 
     /** Tells whether requests to a service are placed by a coordinator. */
-    boolean covers(String service) {
+    boolean isCoordinated(String service) {
         return covered.test(service);
     }
 
     /** Tells whether this process is the coordinator of a service. */
-    boolean coordinates(String service) {
+    boolean isLocalCoordinator(String service) {
         return coordinatorOf(service)
                 .filter(report -> report.getName().equals(settings.name()))
                 .isPresent();
     }
 
     /** Tells whether another process has to be asked for the quota of requests to a service. */
-    boolean asksElsewhere(String service) {
+    boolean hasRemoteCoordinator(String service) {
         return coordinatorOf(service)
                 .filter(report -> !report.getName().equals(settings.name()))
                 .isPresent();
@@ -134,7 +134,7 @@
     }
 
     /** Tells whether a request of this process, or one of another here, has no target yet. */
-    boolean someWait() {
+    boolean hasPendingRequests() {
         if (coordinator.queuedRequests() > 0) {
             return true;
         }
@@ -147,20 +147,20 @@
     }
 
     /** Returns how many requests of all processes wait here. */
-    int waiting() {
+    int queuedRequests() {
         return coordinator.queuedRequests();
     }
 
     /** Asks for a target. */
-    void ask(String service, PlacementListener listener) {
+    void requestPlacement(String service, PlacementListener listener) {
         PlacementTicket ticket = new PlacementTicket(this, nextId++, service, listener);
         tickets.put(ticket.id(), ticket);
-        listener.asked(ticket);
+        listener.ticketIssued(ticket);
         putToCoordinator(ticket);
     }
 
     /** Notes a request that this process places on its own; coordinators hear of it with the next list. */
-    PlacementTicket placedHere(String service, Candidate candidate) {
+    PlacementTicket placedLocally(String service, Candidate candidate) {
         PlacementTicket ticket = new PlacementTicket(this, nextId++, service, null);
         ticket.placed(candidate.state().target().id(), candidate.uncachedTokens());
         if (covered.test(service)) {
@@ -174,7 +174,7 @@
                 ticket.coordinatorsAsked() >= MOST_ASKED ? Optional.empty() : coordinatorOf(ticket.service());
         if (best.isEmpty()) {
             tickets.remove(ticket.id());
-            ticket.listener().noCoordinator();
+            ticket.listener().coordinatorUnavailable();
             return;
         }
         ticket.askedOf(best.get().getName(), best.get().getIp(), ticker.nowMillis());
@@ -183,7 +183,7 @@
     }
 
     private void sendAsk(PlacementTicket ticket) {
-        PlacementAsk ask = ticket.listener().ask(ticket.id());
+        PlacementAsk ask = ticket.listener().placementRequest(ticket.id());
         if (ticket.coordinatorName().equals(settings.name())) {
             asked(settings.name(), ask, ticker.nowMillis());
         } else {
@@ -226,7 +226,7 @@
             }
             return;
         }
-        if (nowMillis - ticket.askedAtMillis() >= settings.coordinatorSilentMillis()) {
+        if (nowMillis - ticket.askedAtMillis() >= settings.coordinatorTimeoutMillis()) {
             passedOverUntilMillis.put(ticket.coordinatorName(), nowMillis + PASSED_OVER_MILLIS);
             rankings.clear();
             FrontLog.passedOver(ticket, nowMillis - ticket.askedAtMillis());
@@ -357,7 +357,7 @@
                 ticket.listener().overQuota(PlacementMessages.grounds(reply));
             }
             default ->
-                FrontLog.dutyFailed(
+                FrontLog.taskFailed(
                         "reply of a coordinator",
                         new IllegalArgumentException("unknown outcome " + reply.getOutcome()));
         }
@@ -370,7 +370,7 @@
             // This process knows better than the coordinator, by items that are newer here.
             report(ticket, RunEvent.RUN_GIVEN_UP, 0);
             tickets.remove(ticket.id());
-            ticket.listener().noCoordinator();
+            ticket.listener().coordinatorUnavailable();
             return;
         }
         TargetState state = entry.state();
@@ -387,7 +387,7 @@
     }
 
     private void asked(String from, PlacementAsk ask, long nowMillis) {
-        coordinator.requestPlacement(PlacementMessages.ask(from, ask, nowMillis), nowMillis);
+        coordinator.requestPlacement(PlacementMessages.placementRequest(from, ask, nowMillis), nowMillis);
     }
 
     /** Sends the own coordinator's decisions to those who asked. */
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FleetStateExchange.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FleetStateExchange.java
@@ -13,7 +13,7 @@
 final class FleetStateExchange {
     private final FrontSettings settings;
     private final MemberTable members;
-    private final Targets targets;
+    private final TargetRegistry targets;
     private final QuotaLedger quotas;
     private final ItemFeed feed;
     private final Ticker ticker;
@@ -23,7 +23,7 @@
     FleetStateExchange(
             FrontSettings settings,
             MemberTable members,
-            Targets targets,
+            TargetRegistry targets,
             QuotaLedger quotas,
             ItemFeed feed,
             Ticker ticker) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
@@ -43,9 +43,9 @@
 /** One front process: it joins its parts and owns the thread on which all of them run. */
 public final class Front implements Service {
     /** Advice to callers of a process that knows no catalog yet: it asks its peers several times within this. */
-    static final long NOT_READY_COME_BACK_MILLIS = 200;
+    static final long NOT_READY_RETRY_AFTER_MILLIS = 200;
     /** Most bytes of an answer that is collected before it is passed on. */
-    static final int MOST_ANSWER_BYTES = 4 * 1_024 * 1_024;
+    static final int MAX_ANSWER_BYTES = 4 * 1_024 * 1_024;
     /** Time between rounds of news; a request holds a slot several times as long. */
     private static final long GOSSIP_MILLIS = 150;
     /** Time between looks at requests while some wait: an eighth of the shortest objective of a plain service. */
@@ -77,13 +77,13 @@
     private final Random random = new Random();
     private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final MemberTable members;
-    private final Targets targets;
+    private final TargetRegistry targets;
     private final PromptCache prompts = new PromptCache();
     private final ColdShares coldShares;
     private final TargetSelector placement;
     private final QuotaLedger quotas;
     private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
-    private final OwnLines lines;
+    private final LocalQueues localQueues;
     private final Set<CallerConnection> connections = new LinkedHashSet<>();
     private final Set<CallerExchange> exchanges = new LinkedHashSet<>();
     private final FrontMetrics metrics = new FrontMetrics();
@@ -101,7 +101,7 @@
     private boolean accepted;
     private long startedAtMillis;
     private long leavingAtMillis;
-    private Runnable whenEnded = () -> {};
+    private Runnable onStopped = () -> {};
 
     /**
      * Creates a process that is not started.
@@ -118,8 +118,8 @@
                 .setIncarnation(System.currentTimeMillis())
                 .build());
         quotas = new QuotaLedger(settings.freshFleet());
-        targets = new Targets(loop, dialect, ticker, () -> catalog, metrics);
-        lines = new OwnLines(loop, ticker, random::nextDouble, settings.policy());
+        targets = new TargetRegistry(loop, dialect, ticker, () -> catalog, metrics);
+        localQueues = new LocalQueues(loop, ticker, random::nextDouble, settings.policy());
         coldShares = new RendezvousColdShares(settings.name(), this::servingNames, this::coldRate);
         placement = new TargetSelector(
                 prompts,
@@ -189,9 +189,10 @@
         if (settings.metricsPort() == 0) {
             return;
         }
-        metrics.gauge("whinwharf.waiting.requests", "Requests that wait here", lines::size);
+        metrics.gauge("whinwharf.waiting.requests", "Requests that wait here", localQueues::size);
         metrics.gauge("whinwharf.running.requests", "Requests under way here", exchanges::size);
-        metrics.gauge("whinwharf.coordinated.waiting", "Requests of all fronts that wait here", coordination::waiting);
+        metrics.gauge(
+                "whinwharf.coordinated.waiting", "Requests of all fronts that wait here", coordination::queuedRequests);
         metrics.gauge("whinwharf.connections", "Connections of callers", connections::size);
         metrics.gauge(
                 "whinwharf.peers",
@@ -208,7 +209,7 @@
                 .bind(settings.ip(), settings.metricsPort())
                 .addListener(bound -> {
                     if (!bound.isSuccess()) {
-                        FrontLog.dutyFailed("metrics", bound.cause());
+                        FrontLog.taskFailed("metrics", bound.cause());
                     }
                 });
     }
@@ -221,13 +222,13 @@
         try {
             duty.run();
         } catch (RuntimeException e) {
-            FrontLog.dutyFailed(name, e);
+            FrontLog.taskFailed(name, e);
         }
     }
 
     private void tickAndScheduleNext() {
         run("requests", this::tick);
-        boolean someWait = coordination.someWait() || lines.size() > 0;
+        boolean someWait = coordination.hasPendingRequests() || localQueues.size() > 0;
         long pauseMillis = someWait ? TICK_MILLIS : CALM_TICK_MILLIS;
         loop.schedule(this::tickAndScheduleNext, pauseMillis, TimeUnit.MILLISECONDS);
     }
@@ -251,8 +252,8 @@
      *
      * @param action run on the front's thread
      */
-    public void whenEnded(Runnable action) {
-        whenEnded = action;
+    public void onStopped(Runnable action) {
+        onStopped = action;
     }
 
     /**
@@ -380,7 +381,7 @@
         news.updateRemoteLoads(nowMillis);
         coordination.tick();
         List.copyOf(exchanges).forEach(exchange -> exchange.checkTimeouts(nowMillis));
-        lines.advance(nowMillis);
+        localQueues.advance(nowMillis);
         if (phase == MemberPhase.MEMBER_LEAVING) {
             drain(nowMillis);
         }
@@ -409,7 +410,7 @@
         boolean idle = exchanges.isEmpty() && connections.isEmpty() && nowMillis - leavingAtMillis > LINGER_MILLIS;
         if (idle || leftMillis < END_MARGIN_MILLIS) {
             EventLog.event(idle ? LogEvent.DRAINED : LogEvent.DRAIN_TIMEOUT).call();
-            whenEnded.run();
+            onStopped.run();
         }
     }
 
@@ -432,7 +433,7 @@
                 .quotas(quotas)
                 .decisionListener(decisions)
                 .targetOutcomeListener(targets)
-                .loadListener(targets::underWay)
+                .loadListener(targets::updateLoad)
                 .random(random::nextDouble)
                 .policy(settings.policy())
                 .build());
@@ -503,11 +504,11 @@
         return settings.retryAllowance() / (members.all().size() + 2.0);
     }
 
-    OwnLines lines() {
-        return lines;
+    LocalQueues localQueues() {
+        return localQueues;
     }
 
-    Optional<Candidate> choose(Demand demand, long nowMillis) {
+    Optional<Candidate> chooseLocally(Demand demand, long nowMillis) {
         return placement.select(demand, targets.ofService(demand.service()), targets.evacuated(), nowMillis);
     }
 
@@ -521,7 +522,7 @@
     }
 
     /** Tells whether another target of the service could take a request. */
-    boolean hasOther(String service, Set<String> tried) {
+    boolean hasUntriedTarget(String service, Set<String> tried) {
         long nowMillis = ticker.nowMillis();
         return targets.ofService(service).stream()
                 .anyMatch(state -> state.usable(nowMillis)
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
@@ -20,7 +20,7 @@
                 .call();
     }
 
-    static void dutyFailed(String name, Throwable cause) {
+    static void taskFailed(String name, Throwable cause) {
         EventLog.event(LogEvent.DUTY_FAILED)
                 .with(EventField.NAME, name)
                 .with(EventField.REASON, String.valueOf(cause))
@@ -100,7 +100,7 @@
                 .with(EventField.STANDING_MILLIS, grounds.backlogAgeMillis());
     }
 
-    static void repeated(CallerExchange exchange, Target target, String reason) {
+    static void retried(CallerExchange exchange, Target target, String reason) {
         EventLog.event(LogEvent.REQUEST_REPEATED)
                 .with(EventField.REQUEST, exchange.head().attemptId())
                 .with(EventField.TARGET, target.id())
@@ -116,7 +116,7 @@
                 .call();
     }
 
-    static void itemsQuestionFailed(
+    static void itemsRequestFailed(
             String peerIp, long heldRevision, ItemsRequestOutcome outcome, long receivedBytes, long tookMillis) {
         EventLog.event(LogEvent.ITEMS_QUESTION_FAILED)
                 .with(EventField.PEER, peerIp)
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontMetrics.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontMetrics.java
@@ -47,7 +47,7 @@
         answered.increment();
     }
 
-    void repeated() {
+    void retried() {
         repeats.increment();
     }
 
@@ -68,7 +68,7 @@
     }
 
     /** Counts a stream that ended without its last event. */
-    void answerCut(TruncationCause cause) {
+    void streamTruncated(TruncationCause cause) {
         cuts.computeIfAbsent(
                         cause,
                         key -> counter(
@@ -80,7 +80,7 @@
     }
 
     /** Counts a question for published items to a peer. */
-    void itemsAsked(ItemsRequestOutcome outcome) {
+    void itemsRequested(ItemsRequestOutcome outcome) {
         questions
                 .computeIfAbsent(
                         outcome,
@@ -102,13 +102,13 @@
     }
 
     /** Takes the time from sending a request to the first byte of its answer. */
-    void firstByte(RouteKind kind, long millis) {
+    void recordFirstByte(RouteKind kind, long millis) {
         timer(firstBytes, kind, "whinwharf.first.byte", "Time from sending to the first byte")
                 .record(Duration.ofMillis(millis));
     }
 
     /** Takes the time that a request waited here before it was sent. */
-    void waited(RouteKind kind, long millis) {
+    void recordQueueTime(RouteKind kind, long millis) {
         timer(waits, kind, "whinwharf.waiting", "Time a request waited here").record(Duration.ofMillis(millis));
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontSettings.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontSettings.java
@@ -117,7 +117,7 @@
      * @return time in milliseconds
      */
     @Value.Default
-    default long coordinatorSilentMillis() {
+    default long coordinatorTimeoutMillis() {
         return 120;
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFeed.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFeed.java
@@ -69,7 +69,7 @@
     private final PeerItemSource peers;
     private final Ticker ticker;
     private final Random random;
-    private final ServiceView service = new ServiceView();
+    private final PublisherAvailability service = new PublisherAvailability();
     private Listener listener = (value, duringService, readableForMillis) -> {};
     private long watchWorkedAtMillis = Long.MIN_VALUE / 2;
     private long confirmedAtMillis;
@@ -195,7 +195,7 @@
      * @param reason what was seen
      */
     public void serviceReadFailed(String reason) {
-        if (service.failed(ticker.nowMillis())) {
+        if (service.readFailed(ticker.nowMillis())) {
             logSource("service", "peers", reason);
         }
     }
@@ -206,7 +206,7 @@
      */
     @Override
     public boolean watchHealthy() {
-        return service.reading() && ticker.nowMillis() - watchWorkedAtMillis <= WATCH_SILENT_MILLIS && shouldWatch();
+        return service.readable() && ticker.nowMillis() - watchWorkedAtMillis <= WATCH_SILENT_MILLIS && shouldWatch();
     }
 
     /**
@@ -302,7 +302,7 @@
     private void takePeerAnswer(ItemsAnswer answer) {
         long nowMillis = ticker.nowMillis();
         confirmedAtMillis = Math.max(confirmedAtMillis, nowMillis - answer.getAgeMillis());
-        service.peerSaid(answer, nowMillis);
+        service.peerReported(answer, nowMillis);
         boolean duringService = mirror.revision() > 0;
         List<PublishedValue> values = PeerItems.values(answer.getItemsList());
         pass(
@@ -315,7 +315,7 @@
     private void watchWorked() {
         watchWorkedAtMillis = ticker.nowMillis();
         confirmedAtMillis = watchWorkedAtMillis;
-        if (service.read(watchWorkedAtMillis)) {
+        if (service.readSucceeded(watchWorkedAtMillis)) {
             logSource("peers", "service", "");
         }
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/OwnLines.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/LocalQueues.java
@@ -12,7 +12,7 @@
 import org.whinwharf.traffic.waiting.RequestQueue;
 
 /** Requests that wait in this process, one line for each service; those that a coordinator places wait there. */
-final class OwnLines {
+final class LocalQueues {
     /** Requests of one service that may wait here; at the size in use more would outwait their patience. */
     private static final int MOST_WAITING = 256;
 
@@ -23,14 +23,14 @@
     private final Map<String, RequestQueue> lines = new HashMap<>();
     private final Set<String> freedServices = new HashSet<>();
 
-    OwnLines(EventLoopGroup loop, Ticker ticker, DoubleSupplier random, Policy policy) {
+    LocalQueues(EventLoopGroup loop, Ticker ticker, DoubleSupplier random, Policy policy) {
         this.loop = loop;
         this.ticker = ticker;
         this.random = random;
         this.policy = policy;
     }
 
-    RequestQueue of(String service) {
+    RequestQueue queueOf(String service) {
         return lines.computeIfAbsent(service, name -> new RequestQueue(MOST_WAITING, policy));
     }
 
@@ -45,17 +45,18 @@
     }
 
     /** Tries waiting requests after a place was freed, once the present event is done with. */
-    void placeFreed(String service) {
-        if (of(service).size() > 0 && freedServices.add(service)) {
+    void slotFreed(String service) {
+        if (queueOf(service).size() > 0 && freedServices.add(service)) {
             loop.execute(() -> {
                 freedServices.remove(service);
-                of(service).advance(ticker.nowMillis());
+                queueOf(service).advance(ticker.nowMillis());
             });
         }
     }
 
     /** Returns when a refused caller should come back. */
-    long comeBackMillis(String service) {
-        return QueueTimeouts.retryAfterMillis(of(service).backlogAgeMillis(ticker.nowMillis()), random.getAsDouble());
+    long retryAfterMillis(String service) {
+        return QueueTimeouts.retryAfterMillis(
+                queueOf(service).backlogAgeMillis(ticker.nowMillis()), random.getAsDouble());
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerDatagrams.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerDatagrams.java
@@ -73,7 +73,7 @@
             try {
                 socket.send(bytes.rewind(), new InetSocketAddress(ip, settings.peerPort()));
             } catch (IOException e) {
-                FrontLog.dutyFailed("datagram to a peer", e);
+                FrontLog.taskFailed("datagram to a peer", e);
             }
         }
     }
@@ -89,7 +89,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            FrontLog.dutyFailed("datagram of a peer", cause);
+            FrontLog.taskFailed("datagram of a peer", cause);
         }
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItems.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItems.java
@@ -130,10 +130,10 @@
 
     private void ended(
             ItemsRequestOutcome outcome, String ip, ItemsRequest question, long receivedBytes, long tookMillis) {
-        metrics.itemsAsked(outcome);
+        metrics.itemsRequested(outcome);
         metrics.itemsReceived(receivedBytes);
         if (outcome != ItemsRequestOutcome.ANSWERED) {
-            FrontLog.itemsQuestionFailed(ip, question.getAfterRevision(), outcome, receivedBytes, tookMillis);
+            FrontLog.itemsRequestFailed(ip, question.getAfterRevision(), outcome, receivedBytes, tookMillis);
         }
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementListener.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementListener.java
@@ -7,10 +7,10 @@
 /** A request that asked a coordinator for a target. */
 interface PlacementListener {
     /** Returns the ask as it stands now: its times run from the moment it is sent. */
-    PlacementAsk ask(long id);
+    PlacementAsk placementRequest(long id);
 
     /** Takes the ticket under which it is asked, before anything else. */
-    void asked(PlacementTicket ticket);
+    void ticketIssued(PlacementTicket ticket);
 
     /** Takes a target; the request may be sent there now. */
     void granted(Candidate candidate);
@@ -22,5 +22,5 @@
     void overQuota(RejectionDetails grounds);
 
     /** Takes that no coordinator answers: this process has to choose on its own. */
-    void noCoordinator();
+    void coordinatorUnavailable();
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementMessages.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementMessages.java
@@ -18,7 +18,7 @@
     private PlacementMessages() {}
 
     /** Makes the message that asks for a target; its times run from now. */
-    static PlacementAsk ask(
+    static PlacementAsk placementRequest(
             long id,
             Demand demand,
             long patienceMillis,
@@ -44,7 +44,7 @@
         return ask.build();
     }
 
-    static PlacementRequest ask(String from, PlacementAsk ask, long nowMillis) {
+    static PlacementRequest placementRequest(String from, PlacementAsk ask, long nowMillis) {
         ImmutableDemand.Builder demand = ImmutableDemand.builder()
                 .service(ask.getService())
                 .model(ask.getModel())
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ServiceView.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PublisherAvailability.java
@@ -9,15 +9,15 @@
  * lapse: a process that had been cut off took each removal for a lapse, and sent requests to a target that had left for
  * two seconds more. One that hears from peers goes by what they saw, since it may be cut off alone.
  */
-final class ServiceView {
+final class PublisherAvailability {
     /** Time after an outage in which removals may be those of entries that will come back. */
     private static final long LAPSED_MILLIS = 3_000;
 
     private long failedAtMillis = Long.MIN_VALUE / 2;
     private long returnedAtMillis = Long.MIN_VALUE / 2;
-    private boolean reading;
+    private boolean readable;
     /** True once a peer said whether the service could be read; those of earlier releases do not. */
-    private boolean peerSaid;
+    private boolean peerReported;
     /** Whether it could, by the last answer. */
     private boolean peerReading;
     /** Steady time since which it could. */
@@ -28,10 +28,10 @@
      *
      * @return true when it could before
      */
-    boolean failed(long nowMillis) {
+    boolean readFailed(long nowMillis) {
         failedAtMillis = nowMillis;
-        boolean readBefore = reading;
-        reading = false;
+        boolean readBefore = readable;
+        readable = false;
         return readBefore;
     }
 
@@ -40,27 +40,27 @@
      *
      * @return true when it could not before
      */
-    boolean read(long nowMillis) {
-        if (reading) {
+    boolean readSucceeded(long nowMillis) {
+        if (readable) {
             return false;
         }
-        reading = true;
+        readable = true;
         returnedAtMillis = nowMillis;
         return true;
     }
 
     /** Takes what a peer said with its items. */
-    void peerSaid(ItemsAnswer answer, long nowMillis) {
+    void peerReported(ItemsAnswer answer, long nowMillis) {
         if (answer.hasReadableMillis()) {
-            peerSaid = true;
+            peerReported = true;
             peerReading = answer.getReadableMillis() > 0;
             peerReadingSinceMillis = nowMillis - answer.getReadableMillis();
         }
     }
 
     /** Tells whether this process could read the service when it last tried. */
-    boolean reading() {
-        return reading;
+    boolean readable() {
+        return readable;
     }
 
     /**
@@ -71,13 +71,13 @@
      * @return milliseconds; 0 while it is not, {@link Long#MAX_VALUE} when it always was, or that is long ago
      */
     long readableForMillis(long nowMillis, boolean watching) {
-        if (peerSaid && !watching) {
+        if (peerReported && !watching) {
             return peerReading ? unlessLongAgo(nowMillis - peerReadingSinceMillis) : 0;
         }
         if (nowMillis - failedAtMillis >= LAPSED_MILLIS) {
             return Long.MAX_VALUE;
         }
-        return reading ? nowMillis - returnedAtMillis : 0;
+        return readable ? nowMillis - returnedAtMillis : 0;
     }
 
     private static long unlessLongAgo(long millis) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseAssembler.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseAssembler.java
@@ -69,7 +69,7 @@
     }
 
     private void collect(ByteBuf piece) {
-        tooLong = tooLong || collected.readableBytes() + piece.readableBytes() > Front.MOST_ANSWER_BYTES;
+        tooLong = tooLong || collected.readableBytes() + piece.readableBytes() > Front.MAX_ANSWER_BYTES;
         if (tooLong) {
             piece.release();
         } else {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/SilenceWatch.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/SilenceWatch.java
@@ -29,7 +29,7 @@
     }
 
     /** Notes that bytes of the answer came. */
-    void bytesCame(long nowMillis) {
+    void bytesReceived(long nowMillis) {
         lastByteAtMillis = nowMillis;
     }
 
@@ -42,7 +42,7 @@
      * Tells whether the target has just been silent for too long, towards this request and all others of this process.
      * Only once: a target that is sound again would be ejected anew as long as this request hangs there.
      */
-    boolean beginsToBeSilent(TargetEntry entry, boolean streamBegun, long nowMillis) {
+    boolean targetBecameSilent(TargetEntry entry, boolean streamBegun, long nowMillis) {
         long spokeAtMillis = Math.max(lastByteAtMillis, entry.lastByteAtMillis());
         if (noted || nowMillis - spokeAtMillis <= limitMillis(streamBegun)) {
             return false;
@@ -52,7 +52,7 @@
     }
 
     /** Tells whether nothing has come for this request for too long. */
-    boolean stuck(boolean streamBegun, long nowMillis) {
+    boolean requestStalled(boolean streamBegun, long nowMillis) {
         return nowMillis - lastByteAtMillis > limitMillis(streamBegun);
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetLink.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetConnection.java
@@ -23,7 +23,7 @@
  * that is under way; after anything odd the connection is closed once the answer is in, so that no stray byte can ever
  * be read as the next request's answer.
  */
-final class TargetLink extends SimpleChannelInboundHandler<HttpObject> {
+final class TargetConnection extends SimpleChannelInboundHandler<HttpObject> {
     /** Idle time assumed where a target does not say how long it keeps a connection. */
     private static final long ASSUMED_KEEP_ALIVE_MILLIS = 2_000;
     /** Closed this much before the target would, so that a request does not cross its close. */
@@ -38,7 +38,7 @@
     }
 
     private final HttpDialect dialect;
-    private final TargetPool pool;
+    private final TargetConnectionPool pool;
     private Channel channel;
     private Phase phase = Phase.IDLE;
     private TargetListener listener;
@@ -49,7 +49,7 @@
     private long keepAliveMillis = ASSUMED_KEEP_ALIVE_MILLIS;
     private long idleSinceMillis;
 
-    TargetLink(HttpDialect dialect, TargetPool pool) {
+    TargetConnection(HttpDialect dialect, TargetConnectionPool pool) {
         super(HttpObject.class);
         this.dialect = dialect;
         this.pool = pool;
@@ -83,7 +83,7 @@
     }
 
     /** Stops or goes on reading, as the caller's connection can take more. */
-    void reading(boolean on) {
+    void setReading(boolean on) {
         channel.config().setAutoRead(on);
     }
 
@@ -177,7 +177,7 @@
             phase = Phase.IDLE;
             idleSinceMillis = pool.nowMillis();
             channel.config().setAutoRead(true);
-            pool.giveBack(this);
+            pool.release(this);
         } else {
             close();
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetPool.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetConnectionPool.java
@@ -17,7 +17,7 @@
 import org.whinwharf.time.Ticker;
 
 /** Connections of this process to one target. */
-final class TargetPool {
+final class TargetConnectionPool {
     /** Longest time to connect: two hundred times a round trip, and below the shortest objective's patience. */
     private static final int CONNECT_TIMEOUT_MILLIS = 600;
     /** Most bytes of an answer's head. */
@@ -27,11 +27,11 @@
 
     private final Bootstrap bootstrap;
     private final Ticker ticker;
-    private final Deque<TargetLink> idle = new ArrayDeque<>();
+    private final Deque<TargetConnection> idle = new ArrayDeque<>();
 
-    TargetPool(EventLoopGroup loop, HttpDialect dialect, Ticker ticker, String ip, int port) {
+    TargetConnectionPool(EventLoopGroup loop, HttpDialect dialect, Ticker ticker, String ip, int port) {
         this.ticker = ticker;
-        TargetPool pool = this;
+        TargetConnectionPool pool = this;
         bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -46,16 +46,16 @@
                                 .addLast(new TargetAnswerDecoder(new HttpDecoderConfig()
                                         .setMaxHeaderSize(MOST_HEADER_BYTES)
                                         .setStrictLineParsing(true)))
-                                .addLast(new TargetLink(dialect, pool));
+                                .addLast(new TargetConnection(dialect, pool));
                     }
                 });
     }
 
     /** Hands out a connection, idle or new; nothing when none can be made. */
-    void acquire(boolean mustBeFresh, Consumer<Optional<TargetLink>> taker) {
+    void acquire(boolean mustBeFresh, Consumer<Optional<TargetConnection>> taker) {
         long nowMillis = ticker.nowMillis();
         while (!idle.isEmpty()) {
-            TargetLink link = idle.pollLast();
+            TargetConnection link = idle.pollLast();
             boolean old = link.stale(nowMillis) || mustBeFresh && link.idleMillis(nowMillis) > FRESH_MILLIS;
             if (link.usable() && !old) {
                 taker.accept(Optional.of(link));
@@ -65,7 +65,7 @@
         }
         bootstrap.connect().addListener((ChannelFuture future) -> {
             if (future.isSuccess()) {
-                taker.accept(Optional.of(future.channel().pipeline().get(TargetLink.class)));
+                taker.accept(Optional.of(future.channel().pipeline().get(TargetConnection.class)));
             } else {
                 taker.accept(Optional.empty());
             }
@@ -73,20 +73,20 @@
     }
 
     /** Takes back a connection whose answer is in. */
-    void giveBack(TargetLink link) {
+    void release(TargetConnection link) {
         idle.addLast(link);
     }
 
     /** Notes that a connection is closed. */
-    void closed(TargetLink link) {
+    void closed(TargetConnection link) {
         idle.remove(link);
     }
 
     /** Closes connections that have been idle for too long. */
     void closeStale() {
         long nowMillis = ticker.nowMillis();
-        for (Iterator<TargetLink> links = idle.iterator(); links.hasNext(); ) {
-            TargetLink link = links.next();
+        for (Iterator<TargetConnection> links = idle.iterator(); links.hasNext(); ) {
+            TargetConnection link = links.next();
             if (link.stale(nowMillis)) {
                 links.remove();
                 link.close();
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetEntry.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetEntry.java
@@ -5,10 +5,10 @@
 /** One target with its connections and what was last seen of it. */
 final class TargetEntry {
     private final TargetState state;
-    private final TargetPool pool;
+    private final TargetConnectionPool pool;
     private long lastByteAtMillis;
 
-    TargetEntry(TargetState state, TargetPool pool) {
+    TargetEntry(TargetState state, TargetConnectionPool pool) {
         this.state = state;
         this.pool = pool;
     }
@@ -17,12 +17,12 @@
         return state;
     }
 
-    TargetPool pool() {
+    TargetConnectionPool pool() {
         return pool;
     }
 
     /** Notes that bytes came from the target. */
-    void spoke(long nowMillis) {
+    void bytesReceived(long nowMillis) {
         lastByteAtMillis = nowMillis;
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetFailure.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetFailure.java
@@ -13,17 +13,17 @@
     /** Nothing came for too long. */
     SILENT(true, RunEvent.RUN_SILENT);
 
-    private final boolean certain;
+    private final boolean conclusive;
     private final RunEvent event;
 
     TargetFailure(boolean certain, RunEvent event) {
-        this.certain = certain;
+        this.conclusive = certain;
         this.event = event;
     }
 
     /** Tells whether one such failure shows that the target is out of use. */
-    boolean certain() {
-        return certain;
+    boolean conclusive() {
+        return conclusive;
     }
 
     /** Returns what a coordinator is told. */
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Targets.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRegistry.java
@@ -24,7 +24,7 @@
 import org.whinwharf.traffic.target.TargetState;
 
 /** All targets that this process knows, with their connections and health. */
-final class Targets implements TargetOutcomeListener {
+final class TargetRegistry implements TargetOutcomeListener {
     /** Extra time a target counts as cold after it said it would be warm: its word may be a heartbeat old. */
     private static final long COLD_MARGIN_MILLIS = 300;
     /** Share of a service's targets that errors alone may take out of use. */
@@ -41,7 +41,7 @@
     private final FrontMetrics metrics;
     private Set<String> evacuated = Set.of();
 
-    Targets(
+    TargetRegistry(
             EventLoopGroup loop,
             HttpDialect dialect,
             Ticker ticker,
@@ -69,7 +69,7 @@
                 && (known.state().target().bornUnixMillis() != target.bornUnixMillis()
                         || known.state().gone(nowMillis));
         if (known == null) {
-            TargetPool pool = new TargetPool(loop, dialect, ticker, target.ip(), target.port());
+            TargetConnectionPool pool = new TargetConnectionPool(loop, dialect, ticker, target.ip(), target.port());
             known = new TargetEntry(new TargetState(target), pool);
             entries.put(target.id(), known);
             byService.computeIfAbsent(target.service(), name -> new HashMap<>()).put(target.id(), known.state());
@@ -146,7 +146,7 @@
 
     /** Takes a failure into the target's health. */
     void failed(TargetEntry entry, TargetFailure failure) {
-        failed(entry, failure.certain(), failure.name());
+        failed(entry, failure.conclusive(), failure.name());
     }
 
     private void failed(TargetEntry entry, boolean certain, String reason) {
@@ -195,7 +195,7 @@
     }
 
     /** Takes what all processes have under way at a target. */
-    void underWay(String targetId, RunningRequests.Load load) {
+    void updateLoad(String targetId, RunningRequests.Load load) {
         TargetEntry entry = entries.get(targetId);
         if (entry != null) {
             entry.state().coordinated(load.running(), load.prefillTokens());
@@ -253,7 +253,7 @@
 
     private final class Probe implements TargetListener {
         private final TargetEntry entry;
-        private TargetLink link;
+        private TargetConnection link;
         private OptionalLong coldMillis = OptionalLong.empty();
         private boolean ended;
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetVisit.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRun.java
@@ -5,16 +5,16 @@
 import org.whinwharf.wire.fleet.RunEvent;
 
 /** One request at one target, from its placement to its end; keeps the target's counts and what it teaches of speed. */
-final class TargetVisit {
+final class TargetRun {
     private final TargetEntry entry;
     private final Candidate candidate;
     private final PlacementTicket ticket;
     private long sentAtMillis;
     private long firstByteAtMillis;
-    private boolean firstByteSeen;
+    private boolean firstByteReceived;
     private boolean ended;
 
-    TargetVisit(TargetEntry entry, Candidate candidate, PlacementTicket ticket) {
+    TargetRun(TargetEntry entry, Candidate candidate, PlacementTicket ticket) {
         this.entry = entry;
         this.candidate = candidate;
         this.ticket = ticket;
@@ -33,8 +33,8 @@
         sentAtMillis = nowMillis;
     }
 
-    boolean firstByteSeen() {
-        return firstByteSeen;
+    boolean firstByteReceived() {
+        return firstByteReceived;
     }
 
     /** Returns the time from sending to the first byte. */
@@ -44,7 +44,7 @@
 
     /** Notes the first byte of an answer. */
     void firstByte(long nowMillis) {
-        firstByteSeen = true;
+        firstByteReceived = true;
         firstByteAtMillis = nowMillis;
         state().prefilled(candidate.uncachedTokens());
     }
@@ -80,7 +80,7 @@
             return;
         }
         ended = true;
-        if (!firstByteSeen) {
+        if (!firstByteReceived) {
             state().prefilled(candidate.uncachedTokens());
         }
         state().ended();
