--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/CoordinationTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/CoordinationTest.java
@@ -55,7 +55,7 @@
             FakeTarget.write(first, FrontFixture.request("POST", "/unsafe/x", "a", true));
             FrontFixture.await(() -> engine.requests().size() == 1);
             FakeTarget.write(second, FrontFixture.request("POST", "/unsafe/x", "b", true));
-            FrontFixture.await(() -> waitingTogether() == 1);
+            FrontFixture.await(() -> queuedRequests() == 1);
             assertThat(engine.requests(), hasSize(1));
             answerNow.countDown();
             assertThat(FrontFixture.readAll(first), endsWith("whole"));
@@ -72,8 +72,10 @@
         startFleet(100);
         FakeTarget engine = engine(8, new CountDownLatch(0));
         fronts.get(0).exchange(FrontFixture.request("POST", "/unsafe/x", "first", true));
-        FrontFixture coordinator =
-                fronts.stream().filter(front -> coordinates(front)).findFirst().orElseThrow();
+        FrontFixture coordinator = fronts.stream()
+                .filter(front -> isCoordinator(front))
+                .findFirst()
+                .orElseThrow();
         fronts.remove(coordinator);
         coordinator.kill();
         for (FrontFixture front : fronts) {
@@ -92,14 +94,14 @@
         return engine;
     }
 
-    private int waitingTogether() {
+    private int queuedRequests() {
         int[] sum = new int[1];
         fronts.forEach(
                 front -> front.run(() -> sum[0] += front.front().coordination().queuedRequests()));
         return sum[0];
     }
 
-    private static boolean coordinates(FrontFixture front) {
+    private static boolean isCoordinator(FrontFixture front) {
         boolean[] own = new boolean[1];
         front.run(() -> own[0] = !front.front().coordination().hasRemoteCoordinator("service"));
         return own[0];
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FleetTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FleetTest.java
@@ -19,7 +19,7 @@
 
 /** Fronts that act together. */
 class FleetTest {
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     @Test
     void frontsNameEachOtherToCallers() throws Exception {
@@ -42,9 +42,9 @@
             BlockingQueue<String> heard = new LinkedBlockingQueue<>();
             two.run(() -> two.front().feed().listener((value, duringService, away) -> heard.add(value.key())));
             one.run(() -> one.front().feed().applySnapshot(List.of(item("routes", 3)), 3));
-            assertThat(heard.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), is("routes"));
+            assertThat(heard.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), is("routes"));
             one.run(() -> one.front().feed().applyWatchEvents(List.of(item("keys", 4)), 4));
-            assertThat(heard.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), is("keys"));
+            assertThat(heard.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), is("keys"));
         }
     }
 
@@ -76,7 +76,7 @@
                 assertThat(FrontFixture.readAll(early), endsWith("whole"));
                 String late = one.exchange(FrontFixture.request("POST", "/unsafe/x", "b", false));
                 assertThat(late, startsWith("HTTP/1.1 200"));
-                assertThat(ended.await(PATIENCE_SECONDS, TimeUnit.SECONDS), is(true));
+                assertThat(ended.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), is(true));
                 assertThat(target.requests(), hasSize(2));
             }
         }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FrontFixture.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FrontFixture.java
@@ -31,7 +31,7 @@
     private static final int CALLER_PORT = 18_211;
     private static final int PEER_PORT = 18_212;
     private static final int METRICS_PORT = 18_213;
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
     private static final int READ_TIMEOUT_MILLIS = 10_000;
 
     /** Two test runs at once must not meet on an address; no two processes share an id. */
@@ -236,7 +236,7 @@
     /** Waits within a target's script until a test goes on. */
     static void awaitLatch(CountDownLatch latch) throws IOException {
         try {
-            if (!latch.await(PATIENCE_SECONDS, TimeUnit.SECONDS)) {
+            if (!latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 throw new IOException("not released in time");
             }
         } catch (InterruptedException e) {
@@ -246,7 +246,7 @@
 
     /** Waits until something holds; fails when that takes far too long. */
     static void await(BooleanSupplier condition) throws InterruptedException {
-        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             assertThat("in time", System.nanoTime() < endNanos, is(true));
             Thread.sleep(20);
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
@@ -45,19 +45,19 @@
  */
 final class Coordination {
     /** Time after which an unanswered ask is sent again: ten times the way there and back, a datagram may be lost. */
-    private static final long RESEND_MILLIS = 40;
+    private static final long RESEND_INTERVAL_MILLIS = 40;
     /** Time for which a silent coordinator is passed over: about what a restart takes. */
-    private static final long PASSED_OVER_MILLIS = 2_000;
+    private static final long SILENT_COORDINATOR_SKIP_MILLIS = 2_000;
     /** Time between asks of a request that waits; they show that the coordinator still has it. */
-    private static final long WAITING_ASK_MILLIS = 300;
+    private static final long QUEUED_REFRESH_INTERVAL_MILLIS = 300;
     /** Time between lists of what is under way. */
-    private static final long LIST_MILLIS = 1_000;
+    private static final long RUN_REPORT_INTERVAL_MILLIS = 1_000;
     /** Processes that get these lists: the coordinator, and one that is ready to take over from it. */
-    private static final int LISTENERS = 2;
+    private static final int RUN_REPORT_RECIPIENTS = 2;
     /** Age up to which a ranking is used again; sorting ninety processes for each request would cost more than it. */
-    private static final long RANKING_MILLIS = 100;
+    private static final long MAX_RANKING_AGE_MILLIS = 100;
     /** Coordinators that one request is put to. */
-    private static final int MOST_ASKED = 2;
+    private static final int MAX_COORDINATORS_TRIED = 2;
 
     private final FrontSettings settings;
     private final MemberTable members;
@@ -65,15 +65,15 @@
     private final PeerDatagrams datagrams;
     private final Ticker ticker;
     private final Coordinator coordinator;
-    private final Predicate<String> covered;
+    private final Predicate<String> coordinatedServices;
     private final Map<Long, PlacementTicket> tickets = new LinkedHashMap<>();
-    private final Map<String, Long> passedOverUntilMillis = new HashMap<>();
+    private final Map<String, Long> skippedUntilMillis = new HashMap<>();
     private final Map<String, String> lastCoordinators = new HashMap<>();
-    private final Map<String, String> askerIps = new HashMap<>();
+    private final Map<String, String> requesterIps = new HashMap<>();
     private final Map<String, List<MemberReport>> rankings = new HashMap<>();
     private long rankedAtMillis;
     private long nextId;
-    private long listedAtMillis;
+    private long runsReportedAtMillis;
 
     /**
      * Creates this process's part.
@@ -84,7 +84,7 @@
      * @param datagrams ways to the others
      * @param ticker steady clock
      * @param coordinators builds the coordinator, given who takes its decisions
-     * @param covered tells which services are coordinated
+     * @param coordinatedServices tells which services are coordinated
      */
     Coordination(
             FrontSettings settings,
@@ -93,21 +93,21 @@
             PeerDatagrams datagrams,
             Ticker ticker,
             Function<DecisionListener, Coordinator> coordinators,
-            Predicate<String> covered) {
+            Predicate<String> coordinatedServices) {
         this.settings = settings;
         this.members = members;
         this.targets = targets;
         this.datagrams = datagrams;
         this.ticker = ticker;
-        this.covered = covered;
-        coordinator = coordinators.apply(new Replies());
+        this.coordinatedServices = coordinatedServices;
+        coordinator = coordinators.apply(new ReplySender());
         nextId = members.own().getIncarnation() << 20;
-        datagrams.addListener(this::received);
+        datagrams.addListener(this::receive);
     }
 
     /** Tells whether requests to a service are placed by a coordinator. */
     boolean isCoordinated(String service) {
-        return covered.test(service);
+        return coordinatedServices.test(service);
     }
 
     /** Tells whether this process is the coordinator of a service. */
@@ -127,9 +127,10 @@
     /** Returns the addresses of the coordinators of all services with requests under way here. */
     Collection<String> coordinatorIps() {
         Set<String> ips = new LinkedHashSet<>();
-        services()
-                .forEach(service ->
-                        ranking(service).stream().limit(LISTENERS).forEach(report -> ips.add(report.getIp())));
+        activeServices()
+                .forEach(service -> ranking(service).stream()
+                        .limit(RUN_REPORT_RECIPIENTS)
+                        .forEach(report -> ips.add(report.getIp())));
         return ips;
     }
 
@@ -156,45 +157,46 @@
         PlacementTicket ticket = new PlacementTicket(this, nextId++, service, listener);
         tickets.put(ticket.id(), ticket);
         listener.ticketIssued(ticket);
-        putToCoordinator(ticket);
+        sendToCoordinator(ticket);
     }
 
     /** Notes a request that this process places on its own; coordinators hear of it with the next list. */
     PlacementTicket placedLocally(String service, Candidate candidate) {
         PlacementTicket ticket = new PlacementTicket(this, nextId++, service, null);
         ticket.placed(candidate.state().target().id(), candidate.uncachedTokens());
-        if (covered.test(service)) {
+        if (coordinatedServices.test(service)) {
             tickets.put(ticket.id(), ticket);
         }
         return ticket;
     }
 
-    private void putToCoordinator(PlacementTicket ticket) {
-        Optional<MemberReport> best =
-                ticket.coordinatorsAsked() >= MOST_ASKED ? Optional.empty() : coordinatorOf(ticket.service());
+    private void sendToCoordinator(PlacementTicket ticket) {
+        Optional<MemberReport> best = ticket.coordinatorsTried() >= MAX_COORDINATORS_TRIED
+                ? Optional.empty()
+                : coordinatorOf(ticket.service());
         if (best.isEmpty()) {
             tickets.remove(ticket.id());
             ticket.listener().coordinatorUnavailable();
             return;
         }
-        ticket.askedOf(best.get().getName(), best.get().getIp(), ticker.nowMillis());
-        noteCoordinator(ticket.service(), best.get().getName());
-        sendAsk(ticket);
+        ticket.requestedFrom(best.get().getName(), best.get().getIp(), ticker.nowMillis());
+        recordCoordinator(ticket.service(), best.get().getName());
+        sendRequest(ticket);
     }
 
-    private void sendAsk(PlacementTicket ticket) {
+    private void sendRequest(PlacementTicket ticket) {
         PlacementAsk ask = ticket.listener().placementRequest(ticket.id());
         if (ticket.coordinatorName().equals(settings.name())) {
-            asked(settings.name(), ask, ticker.nowMillis());
+            receiveRequest(settings.name(), ask, ticker.nowMillis());
         } else {
             datagrams.send(datagram().addAsks(ask).build(), ticket.coordinatorIp());
         }
     }
 
-    private void noteCoordinator(String service, String name) {
+    private void recordCoordinator(String service, String name) {
         String before = lastCoordinators.put(service, name);
         if (!name.equals(before)) {
-            sendLists(service);
+            reportRuns(service);
             EventLog.event(LogEvent.COORDINATOR_CHANGED)
                     .with(EventField.SERVICE, service)
                     .with(EventField.FROM, before == null ? "" : before)
@@ -209,32 +211,32 @@
         coordinator.advance(nowMillis);
         for (PlacementTicket ticket : List.copyOf(tickets.values())) {
             if (!ticket.settled() && !ticket.coordinatorName().equals(settings.name())) {
-                follow(ticket, nowMillis);
+                checkUnplaced(ticket, nowMillis);
             }
         }
-        if (nowMillis - listedAtMillis >= LIST_MILLIS) {
-            listedAtMillis = nowMillis;
-            services().forEach(this::sendLists);
+        if (nowMillis - runsReportedAtMillis >= RUN_REPORT_INTERVAL_MILLIS) {
+            runsReportedAtMillis = nowMillis;
+            activeServices().forEach(this::reportRuns);
         }
     }
 
-    private void follow(PlacementTicket ticket, long nowMillis) {
-        if (ticket.waiting()) {
-            if (nowMillis - ticket.askedAtMillis() >= WAITING_ASK_MILLIS) {
-                ticket.askedAgain(nowMillis);
-                sendAsk(ticket);
+    private void checkUnplaced(PlacementTicket ticket, long nowMillis) {
+        if (ticket.isQueued()) {
+            if (nowMillis - ticket.requestedAtMillis() >= QUEUED_REFRESH_INTERVAL_MILLIS) {
+                ticket.refreshed(nowMillis);
+                sendRequest(ticket);
             }
             return;
         }
-        if (nowMillis - ticket.askedAtMillis() >= settings.coordinatorTimeoutMillis()) {
-            passedOverUntilMillis.put(ticket.coordinatorName(), nowMillis + PASSED_OVER_MILLIS);
+        if (nowMillis - ticket.requestedAtMillis() >= settings.coordinatorTimeoutMillis()) {
+            skippedUntilMillis.put(ticket.coordinatorName(), nowMillis + SILENT_COORDINATOR_SKIP_MILLIS);
             rankings.clear();
-            FrontLog.passedOver(ticket, nowMillis - ticket.askedAtMillis());
+            FrontLog.coordinatorSilent(ticket, nowMillis - ticket.requestedAtMillis());
             report(ticket, RunEvent.RUN_GIVEN_UP, 0);
-            putToCoordinator(ticket);
-        } else if (nowMillis - ticket.sentAtMillis() >= RESEND_MILLIS) {
-            ticket.sentAgain(nowMillis);
-            sendAsk(ticket);
+            sendToCoordinator(ticket);
+        } else if (nowMillis - ticket.sentAtMillis() >= RESEND_INTERVAL_MILLIS) {
+            ticket.resent(nowMillis);
+            sendRequest(ticket);
         }
     }
 
@@ -263,23 +265,23 @@
         tickets.remove(ticket.id());
     }
 
-    private Set<String> services() {
+    private Set<String> activeServices() {
         Set<String> services = new LinkedHashSet<>();
         tickets.values().forEach(ticket -> services.add(ticket.service()));
         return services;
     }
 
-    private void sendLists(String service) {
+    private void reportRuns(String service) {
         List<RunUnderWay> runs = new ArrayList<>();
         tickets.values().stream()
                 .filter(ticket -> ticket.service().equals(service))
-                .forEach(ticket -> ticket.addTo(runs));
+                .forEach(ticket -> ticket.addRunTo(runs));
         RunsUnderWay list =
                 RunsUnderWay.newBuilder().setService(service).addAllRuns(runs).build();
         FleetDatagram message = datagram().addRuns(list).build();
-        ranking(service).stream().limit(LISTENERS).forEach(report -> {
+        ranking(service).stream().limit(RUN_REPORT_RECIPIENTS).forEach(report -> {
             if (report.getName().equals(settings.name())) {
-                underWay(settings.name(), list);
+                receiveRuns(settings.name(), list);
             } else {
                 datagrams.send(message, report.getIp());
             }
@@ -287,12 +289,12 @@
     }
 
     private Optional<MemberReport> coordinatorOf(String service) {
-        return covered.test(service) ? ranking(service).stream().findFirst() : Optional.empty();
+        return coordinatedServices.test(service) ? ranking(service).stream().findFirst() : Optional.empty();
     }
 
     private List<MemberReport> ranking(String service) {
         long nowMillis = ticker.nowMillis();
-        if (nowMillis - rankedAtMillis >= RANKING_MILLIS) {
+        if (nowMillis - rankedAtMillis >= MAX_RANKING_AGE_MILLIS) {
             rankedAtMillis = nowMillis;
             rankings.clear();
         }
@@ -300,10 +302,10 @@
     }
 
     private List<MemberReport> rank(String service, long nowMillis) {
-        passedOverUntilMillis.values().removeIf(untilMillis -> nowMillis >= untilMillis);
+        skippedUntilMillis.values().removeIf(untilMillis -> nowMillis >= untilMillis);
         List<Member> serving = members.servingMembers(nowMillis).stream()
                 .filter(member ->
-                        !passedOverUntilMillis.containsKey(member.report().getName()))
+                        !skippedUntilMillis.containsKey(member.report().getName()))
                 .toList();
         return CoordinatorRanking.rank(service, serving);
     }
@@ -312,21 +314,21 @@
         return FleetDatagram.newBuilder().setFrom(settings.name());
     }
 
-    private void received(FleetDatagram datagram, String fromIp) {
+    private void receive(FleetDatagram datagram, String fromIp) {
         long nowMillis = ticker.nowMillis();
         String from = datagram.getFrom();
         if (datagram.getAsksCount() > 0) {
-            askerIps.put(from, fromIp);
-            datagram.getAsksList().forEach(ask -> asked(from, ask, nowMillis));
+            requesterIps.put(from, fromIp);
+            datagram.getAsksList().forEach(ask -> receiveRequest(from, ask, nowMillis));
         }
         datagram.getProgressList()
                 .forEach(progress -> coordinator.reportProgress(
                         from, progress.getId(), progress.getEvent(), progress.getTookMillis(), nowMillis));
-        datagram.getRunsList().forEach(list -> underWay(from, list));
-        datagram.getRepliesList().forEach(reply -> replied(from, fromIp, reply));
+        datagram.getRunsList().forEach(list -> receiveRuns(from, list));
+        datagram.getRepliesList().forEach(reply -> receiveReply(from, fromIp, reply));
     }
 
-    private void underWay(String from, RunsUnderWay list) {
+    private void receiveRuns(String from, RunsUnderWay list) {
         Map<Long, RunningRequests.Run> runs = new HashMap<>();
         list.getRunsList()
                 .forEach(
@@ -334,20 +336,20 @@
         coordinator.reportInFlight(from, list.getService(), runs, ticker.nowMillis());
     }
 
-    private void replied(String from, String fromIp, PlacementReply reply) {
+    private void receiveReply(String from, String fromIp, PlacementReply reply) {
         PlacementTicket ticket = tickets.get(reply.getId());
         boolean granted = reply.getOutcome() == PlacementOutcome.PLACEMENT_GRANTED;
         boolean current = ticket != null && ticket.coordinatorName().equals(from);
         if (!current || ticket.settled()) {
-            if (granted && !(current && ticket.isAt(reply.getTarget()))) {
+            if (granted && !(current && ticket.isPlacedAt(reply.getTarget()))) {
                 // The grant came too late; the place must not stay taken until the next list.
                 report(from, fromIp, reply.getId(), RunEvent.RUN_GIVEN_UP, 0);
             }
             return;
         }
         switch (reply.getOutcome()) {
-            case PLACEMENT_GRANTED -> granted(ticket, reply);
-            case PLACEMENT_WAITING -> ticket.waits(ticker.nowMillis());
+            case PLACEMENT_GRANTED -> acceptGrant(ticket, reply);
+            case PLACEMENT_WAITING -> ticket.queued(ticker.nowMillis());
             case PLACEMENT_SHED -> {
                 ticket.refused();
                 ticket.listener().shed(PlacementMessages.grounds(reply));
@@ -363,7 +365,7 @@
         }
     }
 
-    private void granted(PlacementTicket ticket, PlacementReply reply) {
+    private void acceptGrant(PlacementTicket ticket, PlacementReply reply) {
         TargetEntry entry = targets.entry(reply.getTarget());
         boolean coldUnknown = entry != null && entry.state().cold(ticker.nowMillis()) && !reply.getCold();
         if (entry == null || coldUnknown || !targets.mayReceive(entry)) {
@@ -386,38 +388,38 @@
                         0));
     }
 
-    private void asked(String from, PlacementAsk ask, long nowMillis) {
+    private void receiveRequest(String from, PlacementAsk ask, long nowMillis) {
         coordinator.requestPlacement(PlacementMessages.placementRequest(from, ask, nowMillis), nowMillis);
     }
 
     /** Sends the own coordinator's decisions to those who asked. */
-    private final class Replies implements DecisionListener {
+    private final class ReplySender implements DecisionListener {
         @Override
         public void granted(PlacementRequest ask, Candidate candidate) {
-            reply(ask, PlacementMessages.granted(ask, candidate));
+            sendReply(ask, PlacementMessages.granted(ask, candidate));
         }
 
         @Override
         public void queued(PlacementRequest ask) {
-            reply(ask, PlacementMessages.waiting(ask));
+            sendReply(ask, PlacementMessages.waiting(ask));
         }
 
         @Override
         public void shed(PlacementRequest ask, RejectionDetails grounds) {
-            reply(ask, PlacementMessages.refused(ask, PlacementOutcome.PLACEMENT_SHED, grounds));
+            sendReply(ask, PlacementMessages.refused(ask, PlacementOutcome.PLACEMENT_SHED, grounds));
         }
 
         @Override
         public void overQuota(PlacementRequest ask, RejectionDetails grounds) {
-            reply(ask, PlacementMessages.refused(ask, PlacementOutcome.PLACEMENT_OVER_QUOTA, grounds));
+            sendReply(ask, PlacementMessages.refused(ask, PlacementOutcome.PLACEMENT_OVER_QUOTA, grounds));
         }
 
-        private void reply(PlacementRequest ask, PlacementReply reply) {
+        private void sendReply(PlacementRequest ask, PlacementReply reply) {
             if (ask.requester().equals(settings.name())) {
-                replied(settings.name(), settings.ip(), reply);
+                receiveReply(settings.name(), settings.ip(), reply);
                 return;
             }
-            datagrams.send(datagram().addReplies(reply).build(), askerIps.get(ask.requester()));
+            datagrams.send(datagram().addReplies(reply).build(), requesterIps.get(ask.requester()));
         }
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
@@ -47,29 +47,29 @@
     /** Most bytes of an answer that is collected before it is passed on. */
     static final int MAX_ANSWER_BYTES = 4 * 1_024 * 1_024;
     /** Time between rounds of news; a request holds a slot several times as long. */
-    private static final long GOSSIP_MILLIS = 150;
+    private static final long GOSSIP_INTERVAL_MILLIS = 150;
     /** Time between looks at requests while some wait: an eighth of the shortest objective of a plain service. */
-    private static final long TICK_MILLIS = 20;
+    private static final long TICK_INTERVAL_MILLIS = 20;
     /** Time between looks while none waits; what runs is judged by times of half a second and more. */
-    private static final long CALM_TICK_MILLIS = 60;
+    private static final long IDLE_TICK_INTERVAL_MILLIS = 60;
     /** Time between looks at idle connections, probes and silent peers. */
-    private static final long SWEEP_MILLIS = 250;
+    private static final long SWEEP_INTERVAL_MILLIS = 250;
     /** Time that callers may still come after a request to stop: what they were told before has then run out. */
-    private static final long LINGER_MILLIS = 2_500;
+    private static final long LATE_CALLER_MILLIS = 2_500;
     /**
      * Part by which predictions are spread when this process places alone in a large fleet: more than engines of one
      * generation differ, less than generations do.
      */
-    private static final double BLIND_SPREAD = 0.5;
+    private static final double PREDICTION_JITTER = 0.5;
     /**
      * Time from a start for which callers wait in the port's queue for the catalog. A caller gives an attempt up that
      * is not read within a second; one that is told to come back keeps the rest of its time.
      */
-    private static final long HOLD_CALLERS_MILLIS = 600;
+    private static final long CATALOG_WAIT_LIMIT_MILLIS = 600;
     /** Time from a start after which metrics are served; requests are served before them. */
-    private static final long METRICS_AFTER_MILLIS = 2_000;
+    private static final long METRICS_START_DELAY_MILLIS = 2_000;
     /** Time before the end of the grace period at which the process ends in any case. */
-    private static final long END_MARGIN_MILLIS = 600;
+    private static final long STOP_MARGIN_MILLIS = 600;
 
     private FrontSettings settings;
     private final HttpDialect dialect;
@@ -97,8 +97,8 @@
     private final ItemFeed feed;
     private Optional<Catalog> catalog = Optional.empty();
     private MemberPhase phase = MemberPhase.MEMBER_STARTING;
-    private boolean accepting;
-    private boolean accepted;
+    private boolean acceptStarted;
+    private boolean acceptingCallers;
     private long startedAtMillis;
     private long leavingAtMillis;
     private Runnable onStopped = () -> {};
@@ -123,16 +123,16 @@
         coldShares = new RendezvousColdShares(settings.name(), this::servingNames, this::coldRate);
         placement = new TargetSelector(
                 prompts,
-                this::ownColdShare,
-                () -> members.large() ? random.nextDouble() * BLIND_SPREAD : 0,
+                this::localColdAllowance,
+                () -> members.large() ? random.nextDouble() * PREDICTION_JITTER : 0,
                 settings.policy());
         ItemMirror mirror = new ItemMirror();
         peerItems = new PeerItems(loop, mirror, metrics);
         feed = new ItemFeed(settings, members, mirror, peerItems, ticker, random);
         news = new FleetStateExchange(settings, members, targets, quotas, feed, ticker);
         datagrams = new PeerDatagrams(settings);
-        coordination =
-                new Coordination(settings, members, targets, datagrams, ticker, this::coordinator, this::coordinated);
+        coordination = new Coordination(
+                settings, members, targets, datagrams, ticker, this::createCoordinator, this::isCoordinated);
         gossip = new Gossip(
                 settings, members, ticker, random, datagrams, news::applyReport, coordination::coordinatorIps);
         callers = new CallerAcceptor(this, loop, callerPort);
@@ -174,10 +174,11 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        every("news for peers", GOSSIP_MILLIS, this::gossipRound);
+        scheduleRepeatedly("news for peers", GOSSIP_INTERVAL_MILLIS, this::gossipRound);
         loop.execute(this::tickAndScheduleNext);
-        every("upkeep", SWEEP_MILLIS, this::sweep);
-        loop.schedule(() -> run("metrics", this::startMetrics), METRICS_AFTER_MILLIS, TimeUnit.MILLISECONDS);
+        scheduleRepeatedly("upkeep", SWEEP_INTERVAL_MILLIS, this::sweep);
+        loop.schedule(
+                () -> runLogged("metrics", this::startMetrics), METRICS_START_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         EventLog.event(LogEvent.STARTED)
                 .with(EventField.HOST, settings.name())
                 .with(EventField.ROLE, "front")
@@ -214,11 +215,11 @@
                 });
     }
 
-    private void every(String name, long millis, Runnable duty) {
-        loop.scheduleWithFixedDelay(() -> run(name, duty), millis, millis, TimeUnit.MILLISECONDS);
+    private void scheduleRepeatedly(String name, long millis, Runnable duty) {
+        loop.scheduleWithFixedDelay(() -> runLogged(name, duty), millis, millis, TimeUnit.MILLISECONDS);
     }
 
-    private static void run(String name, Runnable duty) {
+    private static void runLogged(String name, Runnable duty) {
         try {
             duty.run();
         } catch (RuntimeException e) {
@@ -227,9 +228,9 @@
     }
 
     private void tickAndScheduleNext() {
-        run("requests", this::tick);
+        runLogged("requests", this::tick);
         boolean someWait = coordination.hasPendingRequests() || localQueues.size() > 0;
-        long pauseMillis = someWait ? TICK_MILLIS : CALM_TICK_MILLIS;
+        long pauseMillis = someWait ? TICK_INTERVAL_MILLIS : IDLE_TICK_INTERVAL_MILLIS;
         loop.schedule(this::tickAndScheduleNext, pauseMillis, TimeUnit.MILLISECONDS);
     }
 
@@ -302,7 +303,7 @@
             return;
         }
         catalog = Optional.of(published);
-        loop.execute(this::serveOnceKnown);
+        loop.execute(this::acceptOnceReady);
         quotas.update(published, ticker.nowMillis());
         EventLog.event(LogEvent.CATALOG_IN_FORCE)
                 .with(EventField.VERSION, published.version())
@@ -344,20 +345,20 @@
     }
 
     /** Accepts callers once the catalog is known, or after a while to tell them to come back. */
-    private void serveOnceKnown() {
-        boolean heldForLong = ticker.nowMillis() - startedAtMillis > HOLD_CALLERS_MILLIS;
-        if (!accepting && phase == MemberPhase.MEMBER_STARTING && (catalog.isPresent() || heldForLong)) {
-            accepting = true;
+    private void acceptOnceReady() {
+        boolean heldForLong = ticker.nowMillis() - startedAtMillis > CATALOG_WAIT_LIMIT_MILLIS;
+        if (!acceptStarted && phase == MemberPhase.MEMBER_STARTING && (catalog.isPresent() || heldForLong)) {
+            acceptStarted = true;
             callers.start(() -> {
-                accepted = true;
-                serve();
+                acceptingCallers = true;
+                becomeReady();
             });
         }
-        serve();
+        becomeReady();
     }
 
-    private void serve() {
-        if (phase == MemberPhase.MEMBER_STARTING && accepted && catalog.isPresent()) {
+    private void becomeReady() {
+        if (phase == MemberPhase.MEMBER_STARTING && acceptingCallers && catalog.isPresent()) {
             phase = MemberPhase.MEMBER_SERVING;
             phaseChanged();
             EventLog.event(LogEvent.READY)
@@ -389,7 +390,7 @@
 
     private void sweep() {
         long nowMillis = ticker.nowMillis();
-        serveOnceKnown();
+        acceptOnceReady();
         feed.tick();
         targets.sweep();
         List.copyOf(connections).forEach(connection -> connection.checkTimeouts(nowMillis));
@@ -403,12 +404,12 @@
 
     private void drain(long nowMillis) {
         long leftMillis = settings.stopGraceMillis() - (nowMillis - leavingAtMillis);
-        if (nowMillis - leavingAtMillis > LINGER_MILLIS) {
+        if (nowMillis - leavingAtMillis > LATE_CALLER_MILLIS) {
             callers.stop();
             List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
         }
-        boolean idle = exchanges.isEmpty() && connections.isEmpty() && nowMillis - leavingAtMillis > LINGER_MILLIS;
-        if (idle || leftMillis < END_MARGIN_MILLIS) {
+        boolean idle = exchanges.isEmpty() && connections.isEmpty() && nowMillis - leavingAtMillis > LATE_CALLER_MILLIS;
+        if (idle || leftMillis < STOP_MARGIN_MILLIS) {
             EventLog.event(idle ? LogEvent.DRAINED : LogEvent.DRAIN_TIMEOUT).call();
             onStopped.run();
         }
@@ -418,12 +419,12 @@
      * Where a coordinator shares out what cold targets bear, a process that chooses alone sends them nothing: two
      * coordinators for a moment use up the whole already.
      */
-    private int ownColdShare(Target target) {
-        return coordinated(target.service()) ? 0 : coldShares.allowance(target);
+    private int localColdAllowance(Target target) {
+        return isCoordinated(target.service()) ? 0 : coldShares.allowance(target);
     }
 
-    private Coordinator coordinator(DecisionListener decisions) {
-        TargetSelector common = new TargetSelector(prompts, this::coordinatorColdShare, () -> 0, settings.policy());
+    private Coordinator createCoordinator(DecisionListener decisions) {
+        TargetSelector common = new TargetSelector(prompts, this::coordinatorColdAllowance, () -> 0, settings.policy());
         return new Coordinator(ImmutableCoordinatorDependencies.builder()
                 .localName(settings.name())
                 .targetSelector(common)
@@ -440,11 +441,11 @@
     }
 
     /** Half of what a cold target bears: for a moment two processes may each take themselves for the coordinator. */
-    private int coordinatorColdShare(Target target) {
+    private int coordinatorColdAllowance(Target target) {
         return (int) Math.max(1, coldRate(target) / 2);
     }
 
-    private boolean coordinated(String service) {
+    private boolean isCoordinated(String service) {
         return catalog.flatMap(known -> known.service(service))
                 .map(TargetService::engine)
                 .orElse(false);
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
@@ -108,7 +108,7 @@
                 .call();
     }
 
-    static void passedOver(PlacementTicket ticket, long silentMillis) {
+    static void coordinatorSilent(PlacementTicket ticket, long silentMillis) {
         EventLog.event(LogEvent.COORDINATOR_SILENT)
                 .with(EventField.PEER, ticket.coordinatorName())
                 .with(EventField.SERVICE, ticket.service())
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontMetrics.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontMetrics.java
@@ -16,18 +16,18 @@
 /** Counters, gauges and latency histograms of one front process. */
 final class FrontMetrics {
     /** Bounds of the histograms in milliseconds: the objectives in use lie between 100 and 800. */
-    private static final long[] BOUNDS_MILLIS = {10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 10_000};
+    private static final long[] BUCKET_BOUNDS_MILLIS = {10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 10_000};
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final Map<ErrorKind, Counter> failures = new EnumMap<>(ErrorKind.class);
-    private final Map<TruncationCause, Counter> cuts = new EnumMap<>(TruncationCause.class);
-    private final Map<ItemsRequestOutcome, Counter> questions = new EnumMap<>(ItemsRequestOutcome.class);
+    private final Map<TruncationCause, Counter> truncations = new EnumMap<>(TruncationCause.class);
+    private final Map<ItemsRequestOutcome, Counter> itemsRequests = new EnumMap<>(ItemsRequestOutcome.class);
     private final Map<RouteKind, Timer> firstBytes = new EnumMap<>(RouteKind.class);
-    private final Map<RouteKind, Timer> waits = new EnumMap<>(RouteKind.class);
+    private final Map<RouteKind, Timer> queueTimes = new EnumMap<>(RouteKind.class);
     private final Counter answered = Counter.builder("whinwharf.answers")
             .description("Answers of targets that were passed on")
             .register(registry);
-    private final Counter repeats = Counter.builder("whinwharf.repeats")
+    private final Counter retries = Counter.builder("whinwharf.repeats")
             .description("Requests sent to a further target")
             .register(registry);
     private final Counter ejections = Counter.builder("whinwharf.ejections")
@@ -48,7 +48,7 @@
     }
 
     void retried() {
-        repeats.increment();
+        retries.increment();
     }
 
     void ejected() {
@@ -69,7 +69,8 @@
 
     /** Counts a stream that ended without its last event. */
     void streamTruncated(TruncationCause cause) {
-        cuts.computeIfAbsent(
+        truncations
+                .computeIfAbsent(
                         cause,
                         key -> counter(
                                 "whinwharf.answers.cut",
@@ -81,7 +82,7 @@
 
     /** Counts a question for published items to a peer. */
     void itemsRequested(ItemsRequestOutcome outcome) {
-        questions
+        itemsRequests
                 .computeIfAbsent(
                         outcome,
                         key -> counter(
@@ -109,7 +110,8 @@
 
     /** Takes the time that a request waited here before it was sent. */
     void recordQueueTime(RouteKind kind, long millis) {
-        timer(waits, kind, "whinwharf.waiting", "Time a request waited here").record(Duration.ofMillis(millis));
+        timer(queueTimes, kind, "whinwharf.waiting", "Time a request waited here")
+                .record(Duration.ofMillis(millis));
     }
 
     /** Returns all values in Prometheus's text format. */
@@ -119,9 +121,9 @@
 
     private Timer timer(Map<RouteKind, Timer> timers, RouteKind kind, String name, String description) {
         return timers.computeIfAbsent(kind, key -> {
-            Duration[] bounds = new Duration[BOUNDS_MILLIS.length];
+            Duration[] bounds = new Duration[BUCKET_BOUNDS_MILLIS.length];
             for (int i = 0; i < bounds.length; i++) {
-                bounds[i] = Duration.ofMillis(BOUNDS_MILLIS[i]);
+                bounds[i] = Duration.ofMillis(BUCKET_BOUNDS_MILLIS[i]);
             }
             return Timer.builder(name)
                     .description(description)
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/LocalQueues.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/LocalQueues.java
@@ -14,14 +14,14 @@
 /** Requests that wait in this process, one line for each service; those that a coordinator places wait there. */
 final class LocalQueues {
     /** Requests of one service that may wait here; at the size in use more would outwait their patience. */
-    private static final int MOST_WAITING = 256;
+    private static final int MAX_QUEUED = 256;
 
     private final EventLoopGroup loop;
     private final Ticker ticker;
     private final DoubleSupplier random;
     private final Policy policy;
-    private final Map<String, RequestQueue> lines = new HashMap<>();
-    private final Set<String> freedServices = new HashSet<>();
+    private final Map<String, RequestQueue> queues = new HashMap<>();
+    private final Set<String> scheduledServices = new HashSet<>();
 
     LocalQueues(EventLoopGroup loop, Ticker ticker, DoubleSupplier random, Policy policy) {
         this.loop = loop;
@@ -31,24 +31,24 @@
     }
 
     RequestQueue queueOf(String service) {
-        return lines.computeIfAbsent(service, name -> new RequestQueue(MOST_WAITING, policy));
+        return queues.computeIfAbsent(service, name -> new RequestQueue(MAX_QUEUED, policy));
     }
 
     /** Returns how many requests wait. */
     int size() {
-        return lines.values().stream().mapToInt(RequestQueue::size).sum();
+        return queues.values().stream().mapToInt(RequestQueue::size).sum();
     }
 
     /** Sends and refuses what waits. */
     void advance(long nowMillis) {
-        lines.values().forEach(line -> line.advance(nowMillis));
+        queues.values().forEach(line -> line.advance(nowMillis));
     }
 
     /** Tries waiting requests after a place was freed, once the present event is done with. */
     void slotFreed(String service) {
-        if (queueOf(service).size() > 0 && freedServices.add(service)) {
+        if (queueOf(service).size() > 0 && scheduledServices.add(service)) {
             loop.execute(() -> {
-                freedServices.remove(service);
+                scheduledServices.remove(service);
                 queueOf(service).advance(ticker.nowMillis());
             });
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementTicket.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementTicket.java
@@ -8,9 +8,9 @@
 final class PlacementTicket {
     private enum Stage {
         /** Nobody answered yet. */
-        ASKING,
+        REQUESTED,
         /** The coordinator has it in its line. */
-        WAITING,
+        QUEUED,
         /** It has a target, by a grant or by this process's own choice. */
         PLACED,
         ENDED
@@ -20,14 +20,14 @@
     private final long id;
     private final String service;
     private final PlacementListener listener;
-    private Stage stage = Stage.ASKING;
+    private Stage stage = Stage.REQUESTED;
     private String coordinatorName = "";
     private String coordinatorIp = "";
     private String targetId = "";
     private long prefillTokens;
-    private long askedAtMillis;
+    private long requestedAtMillis;
     private long sentAtMillis;
-    private int coordinatorsAsked;
+    private int coordinatorsTried;
 
     PlacementTicket(Coordination coordination, long id, String service, PlacementListener listener) {
         this.coordination = coordination;
@@ -56,12 +56,12 @@
         return coordinatorIp;
     }
 
-    int coordinatorsAsked() {
-        return coordinatorsAsked;
+    int coordinatorsTried() {
+        return coordinatorsTried;
     }
 
-    long askedAtMillis() {
-        return askedAtMillis;
+    long requestedAtMillis() {
+        return requestedAtMillis;
     }
 
     /** Tells whether it needs no target any more, or has one. */
@@ -70,40 +70,40 @@
     }
 
     /** Tells whether the coordinator said that the request waits there. */
-    boolean waiting() {
-        return stage == Stage.WAITING;
+    boolean isQueued() {
+        return stage == Stage.QUEUED;
     }
 
-    boolean isAt(String target) {
+    boolean isPlacedAt(String target) {
         return stage == Stage.PLACED && targetId.equals(target);
     }
 
     /** Notes whom it is put to. */
-    void askedOf(String name, String ip, long nowMillis) {
-        stage = Stage.ASKING;
+    void requestedFrom(String name, String ip, long nowMillis) {
+        stage = Stage.REQUESTED;
         coordinatorName = name;
         coordinatorIp = ip;
-        askedAtMillis = nowMillis;
+        requestedAtMillis = nowMillis;
         sentAtMillis = nowMillis;
-        coordinatorsAsked++;
+        coordinatorsTried++;
     }
 
     /** Notes that the coordinator was asked whether the request still waits there. */
-    void askedAgain(long nowMillis) {
-        stage = Stage.ASKING;
-        askedAtMillis = nowMillis;
+    void refreshed(long nowMillis) {
+        stage = Stage.REQUESTED;
+        requestedAtMillis = nowMillis;
         sentAtMillis = nowMillis;
     }
 
     /** Notes that the coordinator answered that the request waits. */
-    void waits(long nowMillis) {
-        stage = Stage.WAITING;
-        askedAtMillis = nowMillis;
+    void queued(long nowMillis) {
+        stage = Stage.QUEUED;
+        requestedAtMillis = nowMillis;
         sentAtMillis = nowMillis;
     }
 
     /** Notes that it was put to the same coordinator again. */
-    void sentAgain(long nowMillis) {
+    void resent(long nowMillis) {
         sentAtMillis = nowMillis;
     }
 
@@ -119,7 +119,7 @@
     }
 
     /** Adds what is under way to a list. */
-    void addTo(List<RunUnderWay> runs) {
+    void addRunTo(List<RunUnderWay> runs) {
         if (stage == Stage.PLACED) {
             runs.add(RunUnderWay.newBuilder()
                     .setId(id)
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PublisherAvailability.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PublisherAvailability.java
@@ -11,17 +11,17 @@
  */
 final class PublisherAvailability {
     /** Time after an outage in which removals may be those of entries that will come back. */
-    private static final long LAPSED_MILLIS = 3_000;
+    private static final long EXPIRED_ENTRIES_RETURN_MILLIS = 3_000;
 
     private long failedAtMillis = Long.MIN_VALUE / 2;
-    private long returnedAtMillis = Long.MIN_VALUE / 2;
+    private long recoveredAtMillis = Long.MIN_VALUE / 2;
     private boolean readable;
     /** True once a peer said whether the service could be read; those of earlier releases do not. */
     private boolean peerReported;
     /** Whether it could, by the last answer. */
-    private boolean peerReading;
+    private boolean readableByPeer;
     /** Steady time since which it could. */
-    private long peerReadingSinceMillis;
+    private long readableByPeerSinceMillis;
 
     /**
      * Takes that this process could not read the service.
@@ -45,7 +45,7 @@
             return false;
         }
         readable = true;
-        returnedAtMillis = nowMillis;
+        recoveredAtMillis = nowMillis;
         return true;
     }
 
@@ -53,8 +53,8 @@
     void peerReported(ItemsAnswer answer, long nowMillis) {
         if (answer.hasReadableMillis()) {
             peerReported = true;
-            peerReading = answer.getReadableMillis() > 0;
-            peerReadingSinceMillis = nowMillis - answer.getReadableMillis();
+            readableByPeer = answer.getReadableMillis() > 0;
+            readableByPeerSinceMillis = nowMillis - answer.getReadableMillis();
         }
     }
 
@@ -72,15 +72,15 @@
      */
     long readableForMillis(long nowMillis, boolean watching) {
         if (peerReported && !watching) {
-            return peerReading ? unlessLongAgo(nowMillis - peerReadingSinceMillis) : 0;
+            return readableByPeer ? unboundedIfLong(nowMillis - readableByPeerSinceMillis) : 0;
         }
-        if (nowMillis - failedAtMillis >= LAPSED_MILLIS) {
+        if (nowMillis - failedAtMillis >= EXPIRED_ENTRIES_RETURN_MILLIS) {
             return Long.MAX_VALUE;
         }
-        return readable ? nowMillis - returnedAtMillis : 0;
+        return readable ? nowMillis - recoveredAtMillis : 0;
     }
 
-    private static long unlessLongAgo(long millis) {
-        return millis >= LAPSED_MILLIS ? Long.MAX_VALUE : millis;
+    private static long unboundedIfLong(long millis) {
+        return millis >= EXPIRED_ENTRIES_RETURN_MILLIS ? Long.MAX_VALUE : millis;
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/SilenceWatch.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/SilenceWatch.java
@@ -3,17 +3,17 @@
 /** Notices that a target which got a request says nothing. */
 final class SilenceWatch {
     /** Silence before a first byte after which a repeatable request goes elsewhere, in objectives. */
-    private static final int SILENT_OBJECTIVES = 4;
+    private static final int SILENCE_OBJECTIVE_FACTOR = 4;
     /** The same in predicted times to the first event, which tell of long prompts ahead at a slow engine. */
-    private static final double SILENT_PREDICTIONS = 4;
+    private static final double SILENCE_PREDICTION_FACTOR = 4;
     /** Shortest such silence; below it a short queue at a sound target would count as silence. */
-    private static final long SHORTEST_SILENCE_MILLIS = 600;
+    private static final long MIN_FIRST_BYTE_TIMEOUT_MILLIS = 600;
     /** Silence within a stream after which it is resumed elsewhere; callers abandon it at two seconds. */
-    private static final long STREAM_SILENCE_MILLIS = 1_200;
+    private static final long STREAM_SILENCE_TIMEOUT_MILLIS = 1_200;
 
-    private final long firstByteLimitMillis;
+    private final long firstByteTimeoutMillis;
     private long lastByteAtMillis;
-    private boolean noted;
+    private boolean targetReported;
 
     /**
      * Begins to watch.
@@ -23,8 +23,8 @@
      * @param nowMillis steady time in milliseconds at which it is sent
      */
     SilenceWatch(long objectiveMillis, double predictedMillis, long nowMillis) {
-        long byObjective = Math.max(SHORTEST_SILENCE_MILLIS, SILENT_OBJECTIVES * objectiveMillis);
-        firstByteLimitMillis = Math.max(byObjective, Math.round(SILENT_PREDICTIONS * predictedMillis));
+        long byObjective = Math.max(MIN_FIRST_BYTE_TIMEOUT_MILLIS, SILENCE_OBJECTIVE_FACTOR * objectiveMillis);
+        firstByteTimeoutMillis = Math.max(byObjective, Math.round(SILENCE_PREDICTION_FACTOR * predictedMillis));
         lastByteAtMillis = nowMillis;
     }
 
@@ -44,19 +44,19 @@
      */
     boolean targetBecameSilent(TargetEntry entry, boolean streamBegun, long nowMillis) {
         long spokeAtMillis = Math.max(lastByteAtMillis, entry.lastByteAtMillis());
-        if (noted || nowMillis - spokeAtMillis <= limitMillis(streamBegun)) {
+        if (targetReported || nowMillis - spokeAtMillis <= timeoutMillis(streamBegun)) {
             return false;
         }
-        noted = true;
+        targetReported = true;
         return true;
     }
 
     /** Tells whether nothing has come for this request for too long. */
     boolean requestStalled(boolean streamBegun, long nowMillis) {
-        return nowMillis - lastByteAtMillis > limitMillis(streamBegun);
+        return nowMillis - lastByteAtMillis > timeoutMillis(streamBegun);
     }
 
-    private long limitMillis(boolean streamBegun) {
-        return streamBegun ? STREAM_SILENCE_MILLIS : firstByteLimitMillis;
+    private long timeoutMillis(boolean streamBegun) {
+        return streamBegun ? STREAM_SILENCE_TIMEOUT_MILLIS : firstByteTimeoutMillis;
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetAnswerDecoder.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetAnswerDecoder.java
@@ -7,19 +7,19 @@
 
 /** Reads answers of targets; the answer to a HEAD request has no body, whatever length it names. */
 final class TargetAnswerDecoder extends HttpResponseDecoder {
-    private boolean headOnly;
+    private boolean answersHeadRequest;
 
     TargetAnswerDecoder(HttpDecoderConfig config) {
         super(config);
     }
 
     /** Notes the method of the request whose answer comes next. */
-    void expectAnswerTo(HttpMethod method) {
-        headOnly = method.equals(HttpMethod.HEAD);
+    void setRequestMethod(HttpMethod method) {
+        answersHeadRequest = method.equals(HttpMethod.HEAD);
     }
 
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
-        return headOnly || super.isContentAlwaysEmpty(message);
+        return answersHeadRequest || super.isContentAlwaysEmpty(message);
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetConnection.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetConnection.java
@@ -25,13 +25,13 @@
  */
 final class TargetConnection extends SimpleChannelInboundHandler<HttpObject> {
     /** Idle time assumed where a target does not say how long it keeps a connection. */
-    private static final long ASSUMED_KEEP_ALIVE_MILLIS = 2_000;
+    private static final long DEFAULT_KEEP_ALIVE_MILLIS = 2_000;
     /** Closed this much before the target would, so that a request does not cross its close. */
     private static final long KEEP_ALIVE_MARGIN_MILLIS = 700;
 
     private enum Phase {
         IDLE,
-        WAITING_FOR_HEAD,
+        AWAITING_HEAD,
         READING_BODY,
         SKIPPING_BODY,
         CLOSED
@@ -46,7 +46,7 @@
     private ChannelFuture written;
     private boolean reusable = true;
     private boolean broken;
-    private long keepAliveMillis = ASSUMED_KEEP_ALIVE_MILLIS;
+    private long keepAliveMillis = DEFAULT_KEEP_ALIVE_MILLIS;
     private long idleSinceMillis;
 
     TargetConnection(HttpDialect dialect, TargetConnectionPool pool) {
@@ -64,11 +64,11 @@
     void send(HttpRequest request, ByteBuf body, String id, TargetListener follower) {
         listener = follower;
         attemptId = id;
-        phase = Phase.WAITING_FOR_HEAD;
+        phase = Phase.AWAITING_HEAD;
         if (body.isReadable() || HttpUtil.isContentLengthSet(request)) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
         }
-        channel.pipeline().get(TargetAnswerDecoder.class).expectAnswerTo(request.method());
+        channel.pipeline().get(TargetAnswerDecoder.class).setRequestMethod(request.method());
         channel.write(request);
         if (body.isReadable()) {
             channel.write(new DefaultHttpContent(body.retainedDuplicate()));
@@ -151,7 +151,7 @@
         boolean last = content instanceof LastHttpContent;
         if (phase == Phase.SKIPPING_BODY) {
             if (last) {
-                phase = Phase.WAITING_FOR_HEAD;
+                phase = Phase.AWAITING_HEAD;
             }
             return;
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetConnectionPool.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetConnectionPool.java
@@ -21,9 +21,9 @@
     /** Longest time to connect: two hundred times a round trip, and below the shortest objective's patience. */
     private static final int CONNECT_TIMEOUT_MILLIS = 600;
     /** Most bytes of an answer's head. */
-    private static final int MOST_HEADER_BYTES = 32_768;
+    private static final int MAX_HEADER_BYTES = 32_768;
     /** Idle time up to which a connection is trusted with a request that must not be lost in a close. */
-    private static final long FRESH_MILLIS = 1_000;
+    private static final long MAX_FRESH_IDLE_MILLIS = 1_000;
 
     private final Bootstrap bootstrap;
     private final Ticker ticker;
@@ -44,7 +44,7 @@
                         channel.pipeline()
                                 .addLast(new HttpRequestEncoder())
                                 .addLast(new TargetAnswerDecoder(new HttpDecoderConfig()
-                                        .setMaxHeaderSize(MOST_HEADER_BYTES)
+                                        .setMaxHeaderSize(MAX_HEADER_BYTES)
                                         .setStrictLineParsing(true)))
                                 .addLast(new TargetConnection(dialect, pool));
                     }
@@ -56,7 +56,7 @@
         long nowMillis = ticker.nowMillis();
         while (!idle.isEmpty()) {
             TargetConnection link = idle.pollLast();
-            boolean old = link.stale(nowMillis) || mustBeFresh && link.idleMillis(nowMillis) > FRESH_MILLIS;
+            boolean old = link.stale(nowMillis) || mustBeFresh && link.idleMillis(nowMillis) > MAX_FRESH_IDLE_MILLIS;
             if (link.usable() && !old) {
                 taker.accept(Optional.of(link));
                 return;
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRegistry.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRegistry.java
@@ -28,7 +28,7 @@
     /** Extra time a target counts as cold after it said it would be warm: its word may be a heartbeat old. */
     private static final long COLD_MARGIN_MILLIS = 300;
     /** Share of a service's targets that errors alone may take out of use. */
-    private static final double MOST_EJECTED_SHARE = 0.4;
+    private static final double MAX_EJECTED_SHARE = 0.4;
     /** Time a health check may take; the shortest service's objective leaves no longer. */
     private static final long PROBE_TIMEOUT_MILLIS = 500;
 
@@ -62,7 +62,7 @@
         boolean otherService =
                 known != null && !known.state().target().service().equals(target.service());
         if (moved || otherService) {
-            drop(target.id());
+            evict(target.id());
             known = null;
         }
         boolean reborn = known != null
@@ -161,7 +161,7 @@
     void erred(TargetEntry entry) {
         Collection<TargetState> peers = ofService(entry.state().target().service());
         long ejected = peers.stream().filter(state -> state.health().ejected()).count();
-        if (ejected + 1 > peers.size() * MOST_EJECTED_SHARE) {
+        if (ejected + 1 > peers.size() * MAX_EJECTED_SHARE) {
             return;
         }
         if (entry.state().health().erred(ticker.nowMillis())) {
@@ -211,7 +211,7 @@
             if (state.gone(nowMillis)) {
                 entry.pool().closeIdle();
                 if (state.ownRunning() == 0) {
-                    drop(state.target().id());
+                    evict(state.target().id());
                 }
             } else if (!state.target().draining() && state.health().beginProbe(nowMillis)) {
                 probe(entry);
@@ -219,7 +219,7 @@
         }
     }
 
-    private void drop(String targetId) {
+    private void evict(String targetId) {
         TargetEntry entry = entries.remove(targetId);
         entry.pool().closeIdle();
         byService.get(entry.state().target().service()).remove(targetId);
