--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemFeedTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemFeedTest.java
@@ -23,14 +23,14 @@
 import org.whinwharf.wire.fleet.PublishedItem;
 
 class ItemFeedTest {
-    private static final int FLEET = 20;
+    private static final int FLEET_SIZE = 20;
     /** Longer than any watch that works is silent. */
     private static final int STALE_MILLIS = 5_000;
     /** Shortest time in use within which a change must be in force. */
-    private static final long SHORTEST_BOUND_MILLIS = 2_000;
+    private static final long MIN_APPLY_LIMIT_MILLIS = 2_000;
 
     private final MemberTable members = new MemberTable(report("front-50", 0, false));
-    private final Peers peers = new Peers();
+    private final FakePeers peers = new FakePeers();
     private long nowMillis;
     private final ItemFeed feed = new ItemFeed(
             FeedFixture.settings("front-50", "10.0.0.50", "a"),
@@ -49,10 +49,10 @@
     void frontThatStopsWatchingAsksPeersAtOnce() {
         feed.applyWatchEvents(List.of(), 41);
         feed.tick();
-        assertThat(peers.asked, is(empty()));
-        hearFleet(41);
+        assertThat(peers.requests, is(empty()));
+        receiveFleetReports(41);
         feed.tick();
-        assertThat(peers.asked.size(), is(1));
+        assertThat(peers.requests.size(), is(1));
     }
 
     /**
@@ -61,14 +61,14 @@
      */
     @Test
     void peerThatKnowsNewerItemsIsAskedAtOnce() {
-        hearFleet(41);
+        receiveFleetReports(41);
         feed.applyWatchEvents(List.of(), 41);
         feed.tick();
-        peers.asked.clear();
+        peers.requests.clear();
         feed.reportReceived(report("front-07", 44, false));
-        assertThat(peers.asked, contains("10.0.0.7 0"));
+        assertThat(peers.requests, contains("10.0.0.7 0"));
         feed.reportReceived(report("front-08", 44, false));
-        assertThat(peers.asked, contains("10.0.0.7 0"));
+        assertThat(peers.requests, contains("10.0.0.7 0"));
         peers.answerLast(44);
         assertThat(feed.revision(), is(44L));
     }
@@ -76,26 +76,26 @@
     /** Guards against asking the peer that answered last for ever, though it is cut off now and others answer. */
     @Test
     void peerThatDoesNotAnswerIsNotPreferred() {
-        hearFleet(41);
+        receiveFleetReports(41);
         feed.applyWatchEvents(List.of(), 41);
         nowMillis = 1;
         for (int i = 0; i < 30; i++) {
             feed.tick();
-            peers.last.accept(Optional.empty());
+            peers.lastCallback.accept(Optional.empty());
         }
-        assertThat(new HashSet<>(peers.asked).size(), greaterThan(1));
+        assertThat(new HashSet<>(peers.requests).size(), greaterThan(1));
     }
 
     /** Guards against going from peer to peer while one answers: each change costs both sides a connection. */
     @Test
     void peerThatAnswersIsAskedAgain() {
-        hearFleet(41);
+        receiveFleetReports(41);
         feed.applyWatchEvents(List.of(), 41);
         for (int i = 0; i < 30; i++) {
             feed.tick();
             peers.answerLast(41);
         }
-        assertThat(new HashSet<>(peers.asked).size(), is(1));
+        assertThat(new HashSet<>(peers.requests).size(), is(1));
     }
 
     /**
@@ -104,7 +104,7 @@
      * now on, the engine would get requests later than two seconds after it left.
      */
     @Test
-    void removalIsJudgedByTheReturnOfTheServiceAndNotByItsOwnTime() {
+    void removalReportsTimeSinceServiceReturned() {
         List<Long> readableForMillis = new ArrayList<>();
         feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
         feed.applySnapshot(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
@@ -121,12 +121,12 @@
      * Entries lapse while the service is away, and their targets live: as long as it is away nothing counts as gone.
      */
     @Test
-    void removalWhileTheServiceIsAwayMayBeALapse() {
+    void removalDuringOutageMayBeExpiry() {
         List<Long> readableForMillis = new ArrayList<>();
         feed.applySnapshot(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
         feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
         nowMillis = 10_000;
-        hearFleet(42);
+        receiveFleetReports(42);
         feed.serviceReadFailed("down");
         feed.tick();
         peers.answerLast(42, "servers/e");
@@ -135,12 +135,12 @@
 
     /** Guards against sending to a target that left, since this front alone was cut off from the service. */
     @Test
-    void removalThatAPeerInTouchTellsIsNoLapse() {
+    void removalReportedByConnectedPeerIsNotExpiry() {
         List<Long> readableForMillis = new ArrayList<>();
         feed.applySnapshot(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
         feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
         nowMillis = 10_000;
-        hearFleet(42);
+        receiveFleetReports(42);
         feed.serviceReadFailed("reset");
         feed.tick();
         peers.answerLast(removal(42, "servers/e").setReadableMillis(60_000));
@@ -149,15 +149,15 @@
 
     /** Guards against dropping targets whose entries lapsed in an outage that this front did not see itself. */
     @Test
-    void removalRightAfterAnOutageThatAPeerSawMayBeALapse() {
+    void removalSoonAfterOutageSeenByPeerMayBeExpiry() {
         List<Long> readableForMillis = new ArrayList<>();
-        hearFleet(42);
+        receiveFleetReports(42);
         feed.tick();
         peers.answerLast(40);
         feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
         feed.applyWatchEvents(List.of(new PublishedValue("servers/e", new byte[0], 41)), 41);
         nowMillis = 10_000;
-        hearFleet(42);
+        receiveFleetReports(42);
         feed.tick();
         peers.answerLast(removal(42, "servers/e").setReadableMillis(500));
         assertThat(readableForMillis.get(readableForMillis.size() - 1), is(500L));
@@ -165,8 +165,8 @@
 
     /** Guards against losing what a peer saw of an outage on the way over a second front. */
     @Test
-    void frontPassesOnForHowLongTheServiceWasReadable() {
-        hearFleet(42);
+    void frontPropagatesReadableTimeOfService() {
+        receiveFleetReports(42);
         feed.tick();
         peers.answerLast(ItemsAnswer.newBuilder().setRevision(42).setReadableMillis(500));
         nowMillis = 300;
@@ -176,71 +176,71 @@
     /** Guards against a front that was cut off from the service and asks nobody until its last watch is old. */
     @Test
     void frontWhoseWatchFailedAsksPeersAtOnce() {
-        hearWatchersBehind();
+        receiveReportsOfLowerRankedFronts();
         feed.applyWatchEvents(List.of(), 41);
         feed.serviceReadFailed("reset");
         feed.tick();
-        assertThat(peers.asked.size(), is(1));
+        assertThat(peers.requests.size(), is(1));
     }
 
     /** Guards against waiting for a watch that hangs while peers say that they know newer items. */
     @Test
-    void peerThatKnowsMoreIsAskedWhileTheOwnWatchHangs() {
-        hearWatchersBehind();
+    void newerPeerIsAskedWhileLocalWatchHangs() {
+        receiveReportsOfLowerRankedFronts();
         feed.applyWatchEvents(List.of(), 41);
         nowMillis = 50;
         feed.reportReceived(report("front-70", 44, true));
-        nowMillis = SHORTEST_BOUND_MILLIS / 2;
+        nowMillis = MIN_APPLY_LIMIT_MILLIS / 2;
         feed.tick();
-        assertThat(peers.asked, contains("10.0.0.70 0"));
+        assertThat(peers.requests, contains("10.0.0.70 0"));
     }
 
     /** Guards against asking peers for what the own watch is about to bring: engines change many times a second. */
     @Test
-    void watchThatIsAMomentBehindIsWaitedFor() {
-        hearWatchersBehind();
+    void briefWatchDelayCausesNoPeerRequest() {
+        receiveReportsOfLowerRankedFronts();
         feed.applyWatchEvents(List.of(), 41);
         nowMillis = 50;
         feed.reportReceived(report("front-70", 44, true));
         nowMillis = 300;
         feed.tick();
         feed.applyWatchEvents(List.of(), 44);
-        nowMillis = SHORTEST_BOUND_MILLIS;
+        nowMillis = MIN_APPLY_LIMIT_MILLIS;
         feed.tick();
-        assertThat(peers.asked, is(empty()));
+        assertThat(peers.requests, is(empty()));
     }
 
     /** Guards against keeping to a peer that answers and is cut off from the service itself. */
     @Test
-    void peerThatKnowsNothingNewerForLongIsNotPreferred() {
-        hearFleet(41);
+    void stalePeerIsNotPreferred() {
+        receiveFleetReports(41);
         feed.applyWatchEvents(List.of(), 41);
         for (int i = 0; i < 3; i++) {
             feed.tick();
             peers.answerLast(41, STALE_MILLIS);
         }
-        assertThat(new HashSet<>(peers.asked).size(), is(3));
+        assertThat(new HashSet<>(peers.requests).size(), is(3));
     }
 
     /** Guards against asking a peer that only asks others itself, by a report of the time in which it watched. */
     @Test
-    void peerThatWatchesIsPreferredByItsOwnWord() {
-        hearFleet(41);
+    void peerThatAnswersAsWatchingIsPreferred() {
+        receiveFleetReports(41);
         feed.applyWatchEvents(List.of(), 41);
         for (int i = 0; i < 3; i++) {
             feed.tick();
             peers.answerLast(ItemsAnswer.newBuilder().setRevision(41).setWatching(i == 2));
         }
-        String watcher = peers.asked.get(2);
+        String watcher = peers.requests.get(2);
         feed.tick();
-        assertThat(new HashSet<>(peers.asked).size(), is(3));
-        assertThat(peers.asked.get(3), is(watcher));
+        assertThat(new HashSet<>(peers.requests).size(), is(3));
+        assertThat(peers.requests.get(3), is(watcher));
     }
 
     /** Guards against taking any answer for news: a peer that is cut off says what it knew long ago. */
     @Test
-    void itemsAreAsOldAsWhatThePeerKnows() {
-        hearFleet(41);
+    void itemAgeIncludesAgeAtPeer() {
+        receiveFleetReports(41);
         feed.tick();
         nowMillis = 10_000;
         peers.answerLast(41, STALE_MILLIS);
@@ -253,50 +253,50 @@
 
     /** Guards against a fleet in which nobody watches, since those whose turn it is are cut off. */
     @Test
-    void frontWatchesItselfWhenNobodyElseIsInTouch() {
-        hearFleet(41);
+    void frontTakesOverWhenItemsAreStale() {
+        receiveFleetReports(41);
         feed.tick();
         peers.answerLast(41, 0);
         assertThat(feed.shouldWatch(), is(false));
         nowMillis = 20_000;
-        hearFleetAgain();
+        receiveFleetHeartbeats();
         feed.tick();
         assertThat(feed.shouldWatch(), is(true));
         feed.applyWatchEvents(List.of(), 42);
         nowMillis = 22_000;
-        hearFleetAgain();
+        receiveFleetHeartbeats();
         assertThat(feed.shouldWatch(), is(true));
     }
 
     /** Guards against a whole fleet that calls the service in the moment in which its watchers are silent. */
     @Test
-    void frontsBeginToWatchOneAfterTheOther() {
-        hearFleet(41);
+    void takeOversAreStaggered() {
+        receiveFleetReports(41);
         feed.tick();
         peers.answerLast(41, 0);
         nowMillis = STALE_MILLIS;
-        hearFleetAgain();
+        receiveFleetHeartbeats();
         feed.tick();
         assertThat(feed.shouldWatch(), is(false));
     }
 
     /** Hears signs of life of the same fleet, which say nothing of its revisions. */
-    private void hearFleetAgain() {
-        for (int i = 1; i <= FLEET; i++) {
+    private void receiveFleetHeartbeats() {
+        for (int i = 1; i <= FLEET_SIZE; i++) {
             String name = String.format("front-%02d", i);
             members.hear(new Beat(name.hashCode(), 1, nowMillis, MemberPhase.MEMBER_SERVING), nowMillis);
         }
     }
 
     /** Hears of a fleet in which this front is one of those that watch. */
-    private void hearWatchersBehind() {
-        for (int i = 60; i < 60 + FLEET; i++) {
+    private void receiveReportsOfLowerRankedFronts() {
+        for (int i = 60; i < 60 + FLEET_SIZE; i++) {
             members.hear(report("front-" + i, 41, false), nowMillis);
         }
     }
 
-    private void hearFleet(long revision) {
-        for (int i = 1; i <= FLEET; i++) {
+    private void receiveFleetReports(long revision) {
+        for (int i = 1; i <= FLEET_SIZE; i++) {
             members.hear(report(String.format("front-%02d", i), revision, i <= 3), nowMillis);
         }
     }
@@ -324,14 +324,14 @@
                 .build();
     }
 
-    private static final class Peers implements PeerItemSource {
-        private final List<String> asked = new ArrayList<>();
-        private Consumer<Optional<ItemsAnswer>> last;
+    private static final class FakePeers implements PeerItemSource {
+        private final List<String> requests = new ArrayList<>();
+        private Consumer<Optional<ItemsAnswer>> lastCallback;
 
         @Override
         public void requestChanges(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
-            asked.add(ip + " " + waitMillis);
-            last = taker;
+            requests.add(ip + " " + waitMillis);
+            lastCallback = taker;
         }
 
         @Override
@@ -343,7 +343,7 @@
         }
 
         void answerLast(ItemsAnswer.Builder answer) {
-            last.accept(Optional.of(answer.build()));
+            lastCallback.accept(Optional.of(answer.build()));
         }
 
         void answerLast(long revision) {
@@ -351,7 +351,7 @@
         }
 
         void answerLast(long revision, int ageMillis) {
-            last.accept(Optional.of(ItemsAnswer.newBuilder()
+            lastCallback.accept(Optional.of(ItemsAnswer.newBuilder()
                     .setRevision(revision)
                     .setAgeMillis(ageMillis)
                     .build()));
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/LargeItemsTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/LargeItemsTest.java
@@ -32,15 +32,15 @@
     /** The smallest link in use, 7 Mbit/s. */
     private static final long LINK_BYTES_PER_SECOND = 875_000;
     /** Time within which a change must be in force. */
-    private static final long APPLY_MILLIS = 3_000;
+    private static final long APPLY_LIMIT_MILLIS = 3_000;
 
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
     /** Age of what the front that answers knows. */
-    private static final long SERVED_AGE_MILLIS = 700;
+    private static final long REPORTED_AGE_MILLIS = 700;
 
     private static final int ROUTES = 1_848;
     /** Largest value that may be published. */
-    private static final int MOST_VALUE_BYTES = 1_048_576;
+    private static final int MAX_VALUE_BYTES = 1_048_576;
 
     private final EventLoopGroup serverLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoopGroup askerLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -50,7 +50,7 @@
     private final Random random = new Random(27);
 
     LargeItemsTest() throws Exception {
-        server.start(IP, serverPort, new KnownSince());
+        server.start(IP, serverPort, new FixedFreshness());
     }
 
     @AfterEach
@@ -64,60 +64,62 @@
     @Test
     void frontThatMissedVersionsCatchesUp() throws Exception {
         publish(routes(35), 35);
-        Asker asker = new Asker();
-        asker.holds(35);
+        Requester asker = new Requester();
+        asker.loadAtRevision(35);
         publish(routes(37), 37);
         publish(routes(41), 41);
         publish(routes(44), 44);
         // Half of the link is taken by callers.
         try (SlowLink link = new SlowLink(IP, IP, serverPort, LINK_BYTES_PER_SECOND / 2)) {
             long beganAtNanos = System.nanoTime();
-            Optional<ItemsAnswer> answer = asker.ask(link, 1_000).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            Optional<ItemsAnswer> answer = asker.requestChanges(link, 1_000).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertThat(answer.map(ItemsAnswer::getRevision), is(Optional.of(44L)));
-            assertThat((long) answer.get().getAgeMillis(), is(SERVED_AGE_MILLIS));
+            assertThat((long) answer.get().getAgeMillis(), is(REPORTED_AGE_MILLIS));
             assertThat(answer.get().getReadableMillis(), is(60_000));
-            assertThat(millisSince(beganAtNanos), lessThan(APPLY_MILLIS));
+            assertThat(millisSince(beganAtNanos), lessThan(APPLY_LIMIT_MILLIS));
         }
     }
 
     /** Guards against throwing away an answer that is still coming, and asking for all of it again. */
     @Test
-    void answerThatKeepsComingIsNotGivenUp() throws Exception {
-        byte[] incompressible = new byte[MOST_VALUE_BYTES];
+    void answerInProgressIsNotAborted() throws Exception {
+        byte[] incompressible = new byte[MAX_VALUE_BYTES];
         random.nextBytes(incompressible);
         publish(incompressible, 1);
         try (SlowLink link = new SlowLink(IP, IP, serverPort, LINK_BYTES_PER_SECOND)) {
-            Optional<ItemsAnswer> answer = new Asker().ask(link, 0).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            Optional<ItemsAnswer> answer =
+                    new Requester().requestChanges(link, 0).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertThat(answer.map(ItemsAnswer::getRevision), is(Optional.of(1L)));
         }
     }
 
     /** Guards against a change that fills the link of the front which passes it on to eight others. */
     @Test
-    void oneFrontPassesADocumentOnToEightWithinHalfOfTheBound() throws Exception {
+    void oneFrontServesEightPeersWithinHalfOfTheLimit() throws Exception {
         publish(routes(35), 35);
-        List<Asker> askers = new ArrayList<>();
+        List<Requester> askers = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            Asker asker = new Asker();
-            asker.holds(35);
+            Requester asker = new Requester();
+            asker.loadAtRevision(35);
             askers.add(asker);
         }
         publish(routes(37), 37);
         try (SlowLink link = new SlowLink(IP, IP, serverPort, LINK_BYTES_PER_SECOND)) {
             long beganAtNanos = System.nanoTime();
-            List<CompletableFuture<Optional<ItemsAnswer>>> answers =
-                    askers.stream().map(asker -> asker.ask(link, 1_000)).toList();
+            List<CompletableFuture<Optional<ItemsAnswer>>> answers = askers.stream()
+                    .map(asker -> asker.requestChanges(link, 1_000))
+                    .toList();
             for (CompletableFuture<Optional<ItemsAnswer>> answer : answers) {
-                Optional<ItemsAnswer> whole = answer.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+                Optional<ItemsAnswer> whole = answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
                 assertThat(whole.map(ItemsAnswer::getRevision), is(Optional.of(37L)));
             }
-            assertThat(millisSince(beganAtNanos), lessThan(APPLY_MILLIS / 2));
+            assertThat(millisSince(beganAtNanos), lessThan(APPLY_LIMIT_MILLIS / 2));
         }
     }
 
     /** Guards against sending an asker of an earlier release what it can't read. */
     @Test
-    void askerThatReadsNoDeflatedAnswersGetsItemsAsTheyAre() throws Exception {
+    void requesterWithoutDeflateGetsPlainItems() throws Exception {
         publish(routes(35), 35);
         try (Socket socket = new Socket(IP, serverPort)) {
             byte[] question = ItemsRequest.newBuilder().build().toByteArray();
@@ -166,10 +168,10 @@
         }
     }
 
-    private static final class KnownSince implements ItemFreshness {
+    private static final class FixedFreshness implements ItemFreshness {
         @Override
         public long ageMillis() {
-            return SERVED_AGE_MILLIS;
+            return REPORTED_AGE_MILLIS;
         }
 
         @Override
@@ -184,15 +186,15 @@
     }
 
     /** A front that asks. */
-    private final class Asker {
+    private final class Requester {
         private final ItemMirror mirror = new ItemMirror();
         private final PeerItems items = new PeerItems(askerLoop, mirror, new FrontMetrics());
 
-        void holds(long revision) {
+        void loadAtRevision(long revision) {
             mirror.replace(published.all(), revision);
         }
 
-        CompletableFuture<Optional<ItemsAnswer>> ask(SlowLink link, long waitMillis) {
+        CompletableFuture<Optional<ItemsAnswer>> requestChanges(SlowLink link, long waitMillis) {
             CompletableFuture<Optional<ItemsAnswer>> answer = new CompletableFuture<>();
             askerLoop.execute(() -> items.requestChanges(IP, link.port(), waitMillis, answer::complete));
             return answer;
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/PeerItemsTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/PeerItemsTest.java
@@ -26,7 +26,7 @@
 
 class PeerItemsTest {
     private static final String IP = "127.0.0.1";
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final PeerItems items = new PeerItems(loop, new ItemMirror(), new FrontMetrics());
@@ -38,51 +38,51 @@
 
     /** Guards against a connection for each question: every front of a large fleet asks a peer once a second. */
     @Test
-    void questionsToOnePeerShareAConnection() throws Exception {
-        try (Peer peer = new Peer(Integer.MAX_VALUE)) {
-            peer.ask();
-            peer.ask();
-            peer.ask();
-            assertThat(peer.questionsByConnection, contains(3));
+    void requestsToOnePeerShareAConnection() throws Exception {
+        try (FakePeer peer = new FakePeer(Integer.MAX_VALUE)) {
+            peer.requestChanges();
+            peer.requestChanges();
+            peer.requestChanges();
+            assertThat(peer.requestsByConnection, contains(3));
         }
     }
 
     /** Guards against a peer that is asked over a connection which it has closed for ever after. */
     @Test
-    void peerThatClosedItsConnectionIsAskedOverAnother() throws Exception {
-        try (Peer peer = new Peer(1)) {
-            peer.ask();
-            Optional<ItemsAnswer> afterClose = peer.ask();
+    void closedConnectionIsReplaced() throws Exception {
+        try (FakePeer peer = new FakePeer(1)) {
+            peer.requestChanges();
+            Optional<ItemsAnswer> afterClose = peer.requestChanges();
             if (afterClose.isEmpty()) {
-                peer.ask();
+                peer.requestChanges();
             }
-            assertThat(peer.questionsByConnection, contains(1, 1));
+            assertThat(peer.requestsByConnection, contains(1, 1));
         }
     }
 
     /** A peer that answers so many questions on each connection before it closes it. */
-    private final class Peer implements AutoCloseable {
+    private final class FakePeer implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName(IP));
-        private final List<Integer> questionsByConnection = new CopyOnWriteArrayList<>();
-        private final int mostQuestions;
+        private final List<Integer> requestsByConnection = new CopyOnWriteArrayList<>();
+        private final int maxRequests;
 
-        Peer(int mostQuestions) throws IOException {
-            this.mostQuestions = mostQuestions;
+        FakePeer(int mostQuestions) throws IOException {
+            this.maxRequests = mostQuestions;
             Thread acceptor = new Thread(this::accept, "peer");
             acceptor.setDaemon(true);
             acceptor.start();
         }
 
-        Optional<ItemsAnswer> ask() throws Exception {
+        Optional<ItemsAnswer> requestChanges() throws Exception {
             CompletableFuture<Optional<ItemsAnswer>> answer = new CompletableFuture<>();
             loop.execute(() -> items.requestChanges(IP, server.getLocalPort(), 0, answer::complete));
-            return answer.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            return answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
 
         private void accept() {
             while (!server.isClosed()) {
                 try (Socket socket = server.accept()) {
-                    questionsByConnection.add(0);
+                    requestsByConnection.add(0);
                     answer(socket);
                 } catch (IOException e) {
                     // The asker closed its end, or the test is over.
@@ -94,13 +94,13 @@
         private void answer(Socket socket) throws IOException {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-            int connection = questionsByConnection.size() - 1;
-            for (int questions = 1; questions <= mostQuestions; questions++) {
+            int connection = requestsByConnection.size() - 1;
+            for (int questions = 1; questions <= maxRequests; questions++) {
                 byte[] question = in.readNBytes(in.readInt());
                 if (ItemsRequest.parseFrom(question).getWaitMillis() != 0) {
                     throw new EOFException("unexpected question");
                 }
-                questionsByConnection.set(connection, questions);
+                requestsByConnection.set(connection, questions);
                 byte[] answer = ItemsAnswer.newBuilder().setRevision(1).build().toByteArray();
                 out.writeInt(answer.length);
                 out.write(answer);
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/SlowLink.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/SlowLink.java
@@ -14,16 +14,16 @@
 
 /** A relay whose answers pass one link of limited bandwidth, which all its connections share. */
 final class SlowLink implements AutoCloseable {
-    private static final int PIECE_BYTES = 4_096;
+    private static final int CHUNK_BYTES = 4_096;
     /** Receive buffer of the far side, so that no more than this is on its way beyond the link. */
-    private static final int BUFFER_BYTES = 16 * 1_024;
+    private static final int RECEIVE_BUFFER_BYTES = 16 * 1_024;
 
     private final ServerSocket server;
     private final String toIp;
     private final int toPort;
     private final double nanosPerByte;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private long freeAtNanos = System.nanoTime();
+    private long linkFreeAtNanos = System.nanoTime();
 
     SlowLink(String ip, String toIp, int toPort, long bytesPerSecond) throws IOException {
         this.toIp = toIp;
@@ -41,7 +41,7 @@
         while (!server.isClosed()) {
             Socket near = server.accept();
             Socket far = new Socket();
-            far.setReceiveBufferSize(BUFFER_BYTES);
+            far.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
             far.connect(new InetSocketAddress(toIp, toPort));
             sockets.add(near);
             sockets.add(far);
@@ -55,11 +55,11 @@
                 to) {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
-            byte[] piece = new byte[PIECE_BYTES];
+            byte[] piece = new byte[CHUNK_BYTES];
             int count = in.read(piece);
             while (count >= 0) {
                 if (slow) {
-                    waitForTheLink(count);
+                    throttle(count);
                 }
                 out.write(piece, 0, count);
                 count = in.read(piece);
@@ -67,11 +67,11 @@
         }
     }
 
-    private void waitForTheLink(int bytes) {
+    private void throttle(int bytes) {
         long untilNanos;
         synchronized (this) {
-            freeAtNanos = Math.max(freeAtNanos, System.nanoTime()) + (long) (bytes * nanosPerByte);
-            untilNanos = freeAtNanos;
+            linkFreeAtNanos = Math.max(linkFreeAtNanos, System.nanoTime()) + (long) (bytes * nanosPerByte);
+            untilNanos = linkFreeAtNanos;
         }
         long leftNanos = untilNanos - System.nanoTime();
         while (leftNanos > 0) {
@@ -80,11 +80,11 @@
         }
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void start(String name, Work work) {
+    private static void start(String name, IoTask work) {
         Thread thread = new Thread(
                 () -> {
                     try {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FleetStateExchange.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FleetStateExchange.java
@@ -17,8 +17,8 @@
     private final QuotaLedger quotas;
     private final ItemFeed feed;
     private final Ticker ticker;
-    private boolean usesChanged;
-    private long countedAtMillis;
+    private boolean remoteLoadsChanged;
+    private long aggregatedAtMillis;
 
     FleetStateExchange(
             FrontSettings settings,
@@ -67,7 +67,7 @@
 
     /** Takes what another process admitted and has under way. */
     void applyReport(MemberReport report) {
-        usesChanged = true;
+        remoteLoadsChanged = true;
         feed.reportReceived(report);
         report.getQuotasList()
                 .forEach(use -> quotas.heard(
@@ -80,12 +80,12 @@
 
     /** Sums up the requests of all others at each target. */
     void updateRemoteLoads(long nowMillis) {
-        long pauseMillis = usesChanged && !members.large() ? 0 : MemberTable.SILENT_MILLIS;
-        if (nowMillis - countedAtMillis < pauseMillis) {
+        long pauseMillis = remoteLoadsChanged && !members.large() ? 0 : MemberTable.SILENT_MILLIS;
+        if (nowMillis - aggregatedAtMillis < pauseMillis) {
             return;
         }
-        usesChanged = false;
-        countedAtMillis = nowMillis;
+        remoteLoadsChanged = false;
+        aggregatedAtMillis = nowMillis;
         Map<Integer, int[]> uses = new HashMap<>();
         for (Member member : members.alive(nowMillis)) {
             member.report().getUsesList().forEach(use -> {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Gossip.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Gossip.java
@@ -26,13 +26,13 @@
     /** Peers told in one round of a larger fleet; with signs of life of ninety processes that is 9 KB/s. */
     private static final int FAN_OUT = 2;
     /** Rounds of a small fleet for one of a larger. */
-    private static final int LARGE_FLEET_ROUNDS = 2;
+    private static final int LARGE_FLEET_ROUND_DIVISOR = 2;
     /** Most bytes of a datagram, below the usual MTU. */
-    private static final int MOST_DATAGRAM_BYTES = 1_300;
+    private static final int MAX_DATAGRAM_BYTES = 1_300;
     /** Signs of life in a datagram; with a report or two they fill it. */
-    private static final int MOST_BEATS = 90;
+    private static final int MAX_HEARTBEATS = 90;
     /** Share of rounds in which a seed is told too, so that two halves that lost each other meet again. */
-    private static final double SEED_SHARE = 0.1;
+    private static final double SEED_PROBABILITY = 0.1;
 
     /** Takes what was heard. */
     interface Listener {
@@ -47,7 +47,7 @@
     private final PeerDatagrams datagrams;
     private final Listener listener;
     private final Supplier<Collection<String>> coordinatorIps;
-    private boolean heardOfStrangers;
+    private boolean unknownMemberSeen;
     private int roundCount;
 
     Gossip(
@@ -65,18 +65,18 @@
         this.datagrams = datagrams;
         this.listener = listener;
         this.coordinatorIps = coordinatorIps;
-        datagrams.addListener(this::received);
+        datagrams.addListener(this::handleDatagram);
     }
 
     /** Tells peers the own state, and what was heard last as far as room allows. */
     void runRound() {
         roundCount++;
         if (members.large()) {
-            if (roundCount % LARGE_FLEET_ROUNDS == 0) {
-                largeRound();
+            if (roundCount % LARGE_FLEET_ROUND_DIVISOR == 0) {
+                runLargeFleetRound();
             }
         } else {
-            smallRound();
+            runSmallFleetRound();
         }
     }
 
@@ -86,18 +86,18 @@
         runRound();
     }
 
-    private void smallRound() {
+    private void runSmallFleetRound() {
         Set<String> ips = new LinkedHashSet<>();
         members.all().forEach(member -> ips.add(member.report().getIp()));
         boolean alone = ips.size() < 2;
         addSeeds(ips, alone);
-        FleetDatagram.Builder datagram = start().addMembers(members.own());
-        addReports(datagram, shuffled());
-        send(datagram.setRosterWanted(alone || heardOfStrangers).build(), ips);
+        FleetDatagram.Builder datagram = newDatagram().addMembers(members.own());
+        addReports(datagram, shuffledAliveMembers());
+        send(datagram.setRosterWanted(alone || unknownMemberSeen).build(), ips);
     }
 
-    private void largeRound() {
-        FleetDatagram report = start().addMembers(members.own()).build();
+    private void runLargeFleetRound() {
+        FleetDatagram report = newDatagram().addMembers(members.own()).build();
         Set<String> coordinators = new LinkedHashSet<>(coordinatorIps.get());
         coordinators.remove(settings.ip());
         datagrams.send(report, coordinators);
@@ -107,33 +107,33 @@
             ips.add(alive.remove(random.nextInt(alive.size())).report().getIp());
         }
         addSeeds(ips, false);
-        FleetDatagram.Builder datagram = start().addMembers(members.own());
-        for (Beat beat : members.beats(MOST_BEATS, ticker.nowMillis())) {
+        FleetDatagram.Builder datagram = newDatagram().addMembers(members.own());
+        for (Beat beat : members.beats(MAX_HEARTBEATS, ticker.nowMillis())) {
             datagram.addBeatMembers(beat.nameDigest())
                     .addBeatIncarnations(beat.incarnationDigest())
                     .addBeatSequences((int) beat.sequence())
                     .addBeatPhases(beat.phase());
         }
-        send(datagram.setRosterWanted(heardOfStrangers).build(), ips);
+        send(datagram.setRosterWanted(unknownMemberSeen).build(), ips);
     }
 
     private void addSeeds(Set<String> ips, boolean certainly) {
-        if (certainly || random.nextDouble() < SEED_SHARE) {
+        if (certainly || random.nextDouble() < SEED_PROBABILITY) {
             ips.addAll(settings.seedIps());
         }
         ips.remove(settings.ip());
     }
 
     private void send(FleetDatagram datagram, Set<String> ips) {
-        heardOfStrangers = false;
+        unknownMemberSeen = false;
         datagrams.send(datagram, ips);
     }
 
-    private FleetDatagram.Builder start() {
+    private FleetDatagram.Builder newDatagram() {
         return FleetDatagram.newBuilder().setFrom(settings.name());
     }
 
-    private List<Member> shuffled() {
+    private List<Member> shuffledAliveMembers() {
         List<Member> alive = members.alive(ticker.nowMillis());
         Collections.shuffle(alive, random);
         return alive;
@@ -141,7 +141,7 @@
 
     /** Adds reports while there is room, and returns those that found none. */
     private static List<Member> addReports(FleetDatagram.Builder datagram, List<Member> reports) {
-        int room = MOST_DATAGRAM_BYTES - datagram.build().getSerializedSize();
+        int room = MAX_DATAGRAM_BYTES - datagram.build().getSerializedSize();
         for (int i = 0; i < reports.size(); i++) {
             MemberReport report = reports.get(i).report();
             room -= report.getSerializedSize() + 4;
@@ -153,7 +153,7 @@
         return List.of();
     }
 
-    private void received(FleetDatagram datagram, String fromIp) {
+    private void handleDatagram(FleetDatagram datagram, String fromIp) {
         long nowMillis = ticker.nowMillis();
         for (MemberReport report : datagram.getMembersList()) {
             if (members.hear(report, nowMillis)) {
@@ -166,7 +166,7 @@
                     datagram.getBeatIncarnations(i),
                     datagram.getBeatSequences(i),
                     datagram.getBeatPhases(i));
-            heardOfStrangers |= !members.hear(beat, nowMillis);
+            unknownMemberSeen |= !members.hear(beat, nowMillis);
         }
         if (datagram.getRosterWanted()) {
             sendRoster(fromIp);
@@ -174,9 +174,9 @@
     }
 
     private void sendRoster(String ip) {
-        List<Member> left = shuffled();
+        List<Member> left = shuffledAliveMembers();
         do {
-            FleetDatagram.Builder datagram = start().addMembers(members.own());
+            FleetDatagram.Builder datagram = newDatagram().addMembers(members.own());
             List<Member> rest = addReports(datagram, left);
             datagrams.send(datagram.build(), ip);
             left = rest.size() < left.size() ? rest : List.of();
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFeed.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFeed.java
@@ -30,25 +30,25 @@
  */
 public final class ItemFeed implements ItemFreshness {
     /** Silence of the own watch after which peers are asked; a watch answers at least this often. */
-    private static final long WATCH_SILENT_MILLIS = 2_900;
+    private static final long WATCH_TIMEOUT_MILLIS = 2_900;
     /**
      * Time within which a watch that works brings what a peer knows already: twice the pause between watches. What is
      * left of the bound on a change has to do for the question to that peer, on a host that is slow.
      */
-    private static final long WATCH_BEHIND_MILLIS = 400;
+    private static final long WATCH_CATCH_UP_MILLIS = 400;
     /** Time a peer may keep a question waiting. */
-    private static final long PEER_WAIT_MILLIS = 1_000;
+    private static final long PEER_LONG_POLL_MILLIS = 1_000;
     /** Fleet size up to which every process watches. */
-    private static final int SMALL_FLEET = 12;
+    private static final int SMALL_FLEET_LIMIT = 12;
     /** Watching processes in each data centre of a larger fleet: one may fail and one be replaced meanwhile. */
-    private static final int WATCHERS = 3;
+    private static final int WATCHERS_PER_DATA_CENTRE = 3;
 
     /** Age of the items that a watch, the pause after it and a peer's question together do not explain. */
-    private static final long NOBODY_WATCHES_MILLIS = 4_750;
+    private static final long STALE_THRESHOLD_MILLIS = 4_750;
     /** Time after which the next process takes over too, longer than a first answer takes to reach it. */
-    private static final long TAKE_OVER_PAUSE_MILLIS = 500;
+    private static final long TAKE_OVER_STAGGER_MILLIS = 500;
     /** Time for which a process that took over watches. */
-    private static final long TAKE_OVER_MILLIS = 10_000;
+    private static final long TAKE_OVER_DURATION_MILLIS = 10_000;
 
     /** Takes changes of published items. */
     public interface Listener {
@@ -71,20 +71,20 @@
     private final Random random;
     private final PublisherAvailability service = new PublisherAvailability();
     private Listener listener = (value, duringService, readableForMillis) -> {};
-    private long watchWorkedAtMillis = Long.MIN_VALUE / 2;
+    private long lastServiceReadAtMillis = Long.MIN_VALUE / 2;
     private long confirmedAtMillis;
     private long takenOverUntilMillis = Long.MIN_VALUE;
-    private boolean asking;
-    private boolean catchingUp;
+    private boolean pollInFlight;
+    private boolean catchUpInFlight;
     private String lastPeerIp = "";
     /** Whether peers watch, as they said in answers since their last report. */
     private final Map<String, Boolean> watchingByIp = new HashMap<>();
     /** Peers that last said that they had not heard of the service for long. */
-    private final Set<String> outOfTouchIps = new HashSet<>();
+    private final Set<String> stalePeerIps = new HashSet<>();
     /** A peer that knows newer items; empty when none is known. */
-    private String aheadIp = "";
+    private String newerPeerIp = "";
     /** Revision that it holds. */
-    private long aheadRevision;
+    private long newerPeerRevision;
     /** Steady time since which peers have known more. */
     private long behindSinceMillis;
 
@@ -132,13 +132,13 @@
      * @return true when it should
      */
     public boolean shouldWatch() {
-        return ticker.nowMillis() < takenOverUntilMillis || ahead() < WATCHERS;
+        return ticker.nowMillis() < takenOverUntilMillis || watchRank() < WATCHERS_PER_DATA_CENTRE;
     }
 
     /** Returns how many processes of this data centre watch before this one does; 0 in a small fleet. */
-    private int ahead() {
+    private int watchRank() {
         List<Member> alive = members.alive(ticker.nowMillis());
-        if (alive.size() < SMALL_FLEET) {
+        if (alive.size() < SMALL_FLEET_LIMIT) {
             return 0;
         }
         int ahead = 0;
@@ -156,13 +156,13 @@
      * Begins to watch when nobody seems to. Those whose turn it is by name may all be cut off; the next ones begin one
      * after the other, until one has an answer.
      */
-    private void takeOverWhenNobodyWatches() {
-        if (mirror.revision() == 0 || ageMillis() <= NOBODY_WATCHES_MILLIS) {
+    private void takeOverIfStale() {
+        if (mirror.revision() == 0 || ageMillis() <= STALE_THRESHOLD_MILLIS) {
             return;
         }
-        int turn = Math.max(0, ahead() - WATCHERS);
-        if (ageMillis() > NOBODY_WATCHES_MILLIS + turn * TAKE_OVER_PAUSE_MILLIS) {
-            takenOverUntilMillis = ticker.nowMillis() + TAKE_OVER_MILLIS;
+        int turn = Math.max(0, watchRank() - WATCHERS_PER_DATA_CENTRE);
+        if (ageMillis() > STALE_THRESHOLD_MILLIS + turn * TAKE_OVER_STAGGER_MILLIS) {
+            takenOverUntilMillis = ticker.nowMillis() + TAKE_OVER_DURATION_MILLIS;
         }
     }
 
@@ -174,8 +174,8 @@
      */
     public void applySnapshot(Collection<PublishedValue> all, long revision) {
         boolean duringService = mirror.revision() > 0;
-        watchWorked();
-        pass(mirror.replace(all, revision), duringService);
+        recordServiceRead();
+        notifyChanges(mirror.replace(all, revision), duringService);
     }
 
     /**
@@ -185,8 +185,8 @@
      * @param revision revision up to which they are complete
      */
     public void applyWatchEvents(Collection<PublishedValue> events, long revision) {
-        watchWorked();
-        pass(mirror.apply(events, revision), true);
+        recordServiceRead();
+        notifyChanges(mirror.apply(events, revision), true);
     }
 
     /**
@@ -196,7 +196,7 @@
      */
     public void serviceReadFailed(String reason) {
         if (service.readFailed(ticker.nowMillis())) {
-            logSource("service", "peers", reason);
+            logSourceChange("service", "peers", reason);
         }
     }
 
@@ -206,7 +206,9 @@
      */
     @Override
     public boolean watchHealthy() {
-        return service.readable() && ticker.nowMillis() - watchWorkedAtMillis <= WATCH_SILENT_MILLIS && shouldWatch();
+        return service.readable()
+                && ticker.nowMillis() - lastServiceReadAtMillis <= WATCH_TIMEOUT_MILLIS
+                && shouldWatch();
     }
 
     /**
@@ -218,79 +220,79 @@
         if (report.getRevision() <= mirror.revision()) {
             return;
         }
-        if (aheadRevision <= mirror.revision()) {
+        if (newerPeerRevision <= mirror.revision()) {
             behindSinceMillis = ticker.nowMillis();
         }
-        aheadIp = report.getIp();
-        aheadRevision = report.getRevision();
+        newerPeerIp = report.getIp();
+        newerPeerRevision = report.getRevision();
         catchUp();
     }
 
     /** Asks a peer that knows newer items, unless the own watch may bring them any moment. */
     private void catchUp() {
-        if (catchingUp || aheadIp.isEmpty() || aheadRevision <= mirror.revision()) {
+        if (catchUpInFlight || newerPeerIp.isEmpty() || newerPeerRevision <= mirror.revision()) {
             return;
         }
         long behindMillis = ticker.nowMillis() - behindSinceMillis;
-        if (behindMillis < WATCH_BEHIND_MILLIS && watchHealthy()) {
+        if (behindMillis < WATCH_CATCH_UP_MILLIS && watchHealthy()) {
             return;
         }
-        catchingUp = true;
-        String askedIp = aheadIp;
+        catchUpInFlight = true;
+        String askedIp = newerPeerIp;
         peers.requestChanges(askedIp, settings.peerPort(), 0, answer -> {
-            catchingUp = false;
-            answer.ifPresent(this::takePeerAnswer);
-            if (answer.isEmpty() && askedIp.equals(aheadIp)) {
+            catchUpInFlight = false;
+            answer.ifPresent(this::applyPeerAnswer);
+            if (answer.isEmpty() && askedIp.equals(newerPeerIp)) {
                 // The next report of any peer that knows more names another.
-                aheadIp = "";
+                newerPeerIp = "";
             }
         });
     }
 
     /** Asks peers when they know more, or when the own watch does not work. */
     void tick() {
-        takeOverWhenNobodyWatches();
+        takeOverIfStale();
         catchUp();
-        if (asking || watchHealthy()) {
+        if (pollInFlight || watchHealthy()) {
             return;
         }
-        Optional<Member> peer = bestPeer();
+        Optional<Member> peer = selectPeer();
         if (peer.isEmpty()) {
             return;
         }
-        asking = true;
+        pollInFlight = true;
         lastPeerIp = peer.get().report().getIp();
         String askedIp = lastPeerIp;
-        peers.requestChanges(askedIp, settings.peerPort(), PEER_WAIT_MILLIS, answer -> {
-            asking = false;
-            answer.ifPresentOrElse(this::takePeerAnswer, () -> lastPeerIp = "");
-            answer.ifPresent(taken -> judge(askedIp, taken));
+        peers.requestChanges(askedIp, settings.peerPort(), PEER_LONG_POLL_MILLIS, answer -> {
+            pollInFlight = false;
+            answer.ifPresentOrElse(this::applyPeerAnswer, () -> lastPeerIp = "");
+            answer.ifPresent(taken -> recordPeerState(askedIp, taken));
         });
     }
 
     /** Notes how good a source a peer is; once one is in touch, the others may be as well. */
-    private void judge(String peerIp, ItemsAnswer answer) {
+    private void recordPeerState(String peerIp, ItemsAnswer answer) {
         if (answer.hasWatching()) {
             watchingByIp.put(peerIp, answer.getWatching());
         }
-        if (answer.getAgeMillis() > WATCH_SILENT_MILLIS) {
-            outOfTouchIps.add(peerIp);
+        if (answer.getAgeMillis() > WATCH_TIMEOUT_MILLIS) {
+            stalePeerIps.add(peerIp);
         } else {
-            outOfTouchIps.clear();
+            stalePeerIps.clear();
         }
     }
 
-    private boolean watches(MemberReport peer) {
+    private boolean isWatching(MemberReport peer) {
         return watchingByIp.getOrDefault(peer.getIp(), peer.getWatching());
     }
 
-    private Optional<Member> bestPeer() {
+    private Optional<Member> selectPeer() {
         List<Member> candidates = members.alive(ticker.nowMillis());
         Collections.shuffle(candidates, random);
         Comparator<Member> order = Comparator.comparing(
                         (Member member) -> member.report().getRevision() <= mirror.revision())
-                .thenComparing(member -> outOfTouchIps.contains(member.report().getIp()))
-                .thenComparing(member -> !watches(member.report()))
+                .thenComparing(member -> stalePeerIps.contains(member.report().getIp()))
+                .thenComparing(member -> !isWatching(member.report()))
                 .thenComparing(member -> !member.report().getDataCentre().equals(settings.dataCentre()))
                 .thenComparing(member -> !member.report().getIp().equals(lastPeerIp));
         return candidates.stream()
@@ -299,24 +301,24 @@
                 .min(order);
     }
 
-    private void takePeerAnswer(ItemsAnswer answer) {
+    private void applyPeerAnswer(ItemsAnswer answer) {
         long nowMillis = ticker.nowMillis();
         confirmedAtMillis = Math.max(confirmedAtMillis, nowMillis - answer.getAgeMillis());
         service.peerReported(answer, nowMillis);
         boolean duringService = mirror.revision() > 0;
-        List<PublishedValue> values = PeerItems.values(answer.getItemsList());
-        pass(
+        List<PublishedValue> values = PeerItems.toPublishedValues(answer.getItemsList());
+        notifyChanges(
                 answer.getComplete()
                         ? mirror.replace(values, answer.getRevision())
                         : mirror.apply(values, answer.getRevision()),
                 duringService);
     }
 
-    private void watchWorked() {
-        watchWorkedAtMillis = ticker.nowMillis();
-        confirmedAtMillis = watchWorkedAtMillis;
-        if (service.readSucceeded(watchWorkedAtMillis)) {
-            logSource("peers", "service", "");
+    private void recordServiceRead() {
+        lastServiceReadAtMillis = ticker.nowMillis();
+        confirmedAtMillis = lastServiceReadAtMillis;
+        if (service.readSucceeded(lastServiceReadAtMillis)) {
+            logSourceChange("peers", "service", "");
         }
     }
 
@@ -325,7 +327,7 @@
         return service.readableForMillis(ticker.nowMillis(), watchHealthy());
     }
 
-    private void logSource(String from, String to, String reason) {
+    private void logSourceChange(String from, String to, String reason) {
         EventLog.event(LogEvent.ITEMS_SOURCE)
                 .with(EventField.FROM, from)
                 .with(EventField.TO, to)
@@ -334,7 +336,7 @@
                 .call();
     }
 
-    private void pass(List<PublishedValue> changed, boolean duringService) {
+    private void notifyChanges(List<PublishedValue> changed, boolean duringService) {
         long readableForMillis = readableForMillis();
         changed.forEach(value -> listener.itemChanged(value, duringService, readableForMillis));
         if (!changed.isEmpty()) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItems.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItems.java
@@ -34,26 +34,26 @@
 /** Hands the published items from process to process, for those that cannot read the publishing service. */
 final class PeerItems implements PeerItemSource {
     /** Most bytes of a message: a catalog at its largest and all targets. */
-    private static final int MOST_BYTES = 8 * 1_024 * 1_024;
+    private static final int MAX_MESSAGE_BYTES = 8 * 1_024 * 1_024;
     /** Length of the frame header. */
-    private static final int LENGTH_BYTES = 4;
+    private static final int FRAME_HEADER_BYTES = 4;
     /** Time to connect to a peer before another one is asked. */
     private static final int CONNECT_TIMEOUT_MILLIS = 300;
     /** Time beyond the agreed wait within which an answer must begin. */
     private static final long FIRST_BYTE_MARGIN_MILLIS = 500;
 
     /** Longest time that is told as it is; beyond it the difference means nothing to an asker. */
-    private static final long LONGEST_TOLD_MILLIS = 60_000;
+    private static final long MAX_REPORTED_MILLIS = 60_000;
 
     private final EventLoopGroup loop;
     private final ItemMirror mirror;
     private final FrontMetrics metrics;
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<PendingRequest> pendingRequests = new ArrayList<>();
     private ItemFreshness freshness;
     private Channel server;
-    private Packed lastPacked = NOTHING_PACKED;
+    private CachedAnswer cachedAnswer = NO_CACHED_ANSWER;
     /** The connection over which a peer answered last; null for none. */
-    private Asker idle;
+    private PeerConnection idleConnection;
 
     PeerItems(EventLoopGroup loop, ItemMirror mirror, FrontMetrics metrics) {
         this.loop = loop;
@@ -61,12 +61,12 @@
         this.metrics = metrics;
     }
 
-    private record Waiting(Channel channel, long afterRevision, boolean deflate) {}
+    private record PendingRequest(Channel channel, long afterRevision, boolean deflate) {}
 
     /** An answer as it was last sent, since a change is asked for by many at the same revision. */
-    private record Packed(long afterRevision, long revision, ItemsAnswer answer) {}
+    private record CachedAnswer(long afterRevision, long revision, ItemsAnswer answer) {}
 
-    private static final Packed NOTHING_PACKED = new Packed(-1, -1, ItemsAnswer.getDefaultInstance());
+    private static final CachedAnswer NO_CACHED_ANSWER = new CachedAnswer(-1, -1, ItemsAnswer.getDefaultInstance());
 
     /** Begins to answer peers, with how fresh the items are. */
     void start(String ip, int port, ItemFreshness itemsFreshness) {
@@ -75,7 +75,7 @@
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .childHandler(framed(QuestionHandler::new))
+                .childHandler(framedPipeline(RequestHandler::new))
                 .bind(ip, port)
                 .syncUninterruptibly()
                 .channel();
@@ -90,10 +90,10 @@
     /** Answers the peers that wait for a change. */
     @Override
     public void itemsChanged() {
-        lastPacked = NOTHING_PACKED;
-        List<Waiting> all = List.copyOf(waiting);
-        waiting.clear();
-        all.forEach(this::answer);
+        cachedAnswer = NO_CACHED_ANSWER;
+        List<PendingRequest> all = List.copyOf(pendingRequests);
+        pendingRequests.clear();
+        all.forEach(this::sendAnswer);
     }
 
     @Override
@@ -103,32 +103,32 @@
                 .setWaitMillis(waitMillis)
                 .setDeflate(true)
                 .build();
-        Asker kept = idle;
+        PeerConnection kept = idleConnection;
         if (kept != null && kept.ip.equals(ip) && kept.channel.isActive()) {
-            idle = null;
-            kept.ask(question, taker);
+            idleConnection = null;
+            kept.send(question, taker);
             return;
         }
-        Asker asker = new Asker(ip);
+        PeerConnection asker = new PeerConnection(ip);
         long connectingAtNanos = System.nanoTime();
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
-                .handler(framed(() -> asker, asker.timeout.handler()))
+                .handler(framedPipeline(() -> asker, asker.timeout.handler()))
                 .connect(ip, port)
                 .addListener((ChannelFuture done) -> {
                     if (done.isSuccess()) {
-                        asker.ask(question, taker);
+                        asker.send(question, taker);
                     } else {
                         long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - connectingAtNanos);
-                        ended(ItemsRequestOutcome.UNREACHABLE, ip, question, 0, tookMillis);
+                        recordOutcome(ItemsRequestOutcome.UNREACHABLE, ip, question, 0, tookMillis);
                         taker.accept(Optional.empty());
                     }
                 });
     }
 
-    private void ended(
+    private void recordOutcome(
             ItemsRequestOutcome outcome, String ip, ItemsRequest question, long receivedBytes, long tookMillis) {
         metrics.itemsRequested(outcome);
         metrics.itemsReceived(receivedBytes);
@@ -138,15 +138,15 @@
     }
 
     /** Keeps a connection for the next question, in place of the one that was kept before. */
-    private void keep(Asker asker) {
-        if (idle != null && idle != asker) {
-            idle.channel.close();
+    private void keepIdle(PeerConnection asker) {
+        if (idleConnection != null && idleConnection != asker) {
+            idleConnection.channel.close();
         }
-        idle = asker;
+        idleConnection = asker;
     }
 
     /** Turns a message into items. */
-    static List<PublishedValue> values(Collection<PublishedItem> items) {
+    static List<PublishedValue> toPublishedValues(Collection<PublishedItem> items) {
         return items.stream()
                 .map(item -> new PublishedValue(
                         item.getKey(),
@@ -155,27 +155,28 @@
                 .toList();
     }
 
-    private void answer(Waiting asker) {
-        ItemsAnswer answer = asker.deflate() ? packed(asker.afterRevision()) : answerAfter(asker.afterRevision());
+    private void sendAnswer(PendingRequest asker) {
+        ItemsAnswer answer =
+                asker.deflate() ? deflatedAnswerAfter(asker.afterRevision()) : answerAfter(asker.afterRevision());
         write(
                 asker.channel(),
                 answer.toBuilder()
-                        .setAgeMillis(bounded(freshness.ageMillis()))
-                        .setReadableMillis(bounded(freshness.readableForMillis()))
+                        .setAgeMillis(clampMillis(freshness.ageMillis()))
+                        .setReadableMillis(clampMillis(freshness.readableForMillis()))
                         .setWatching(freshness.watchHealthy())
                         .build());
     }
 
-    private static int bounded(long millis) {
-        return (int) Math.max(0, Math.min(LONGEST_TOLD_MILLIS, millis));
+    private static int clampMillis(long millis) {
+        return (int) Math.max(0, Math.min(MAX_REPORTED_MILLIS, millis));
     }
 
-    private ItemsAnswer packed(long afterRevision) {
-        if (lastPacked.afterRevision() != afterRevision || lastPacked.revision() != mirror.revision()) {
-            lastPacked =
-                    new Packed(afterRevision, mirror.revision(), ItemsAnswerCodec.compress(answerAfter(afterRevision)));
+    private ItemsAnswer deflatedAnswerAfter(long afterRevision) {
+        if (cachedAnswer.afterRevision() != afterRevision || cachedAnswer.revision() != mirror.revision()) {
+            cachedAnswer =
+                    new CachedAnswer(afterRevision, mirror.revision(), ItemsAnswerCodec.compress(answerAfter(afterRevision)));
         }
-        return lastPacked.answer();
+        return cachedAnswer.answer();
     }
 
     private ItemsAnswer answerAfter(long afterRevision) {
@@ -203,33 +204,35 @@
         SimpleChannelInboundHandler<ByteBuf> create();
     }
 
-    private static ChannelInitializer<SocketChannel> framed(HandlerFactory factory, ChannelHandler... first) {
+    private static ChannelInitializer<SocketChannel> framedPipeline(HandlerFactory factory, ChannelHandler... first) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(SocketChannel channel) {
                 channel.pipeline()
                         .addLast(first)
-                        .addLast(new LengthFieldBasedFrameDecoder(MOST_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
-                        .addLast(new LengthFieldPrepender(LENGTH_BYTES))
+                        .addLast(new LengthFieldBasedFrameDecoder(
+                                MAX_MESSAGE_BYTES, 0, FRAME_HEADER_BYTES, 0, FRAME_HEADER_BYTES))
+                        .addLast(new LengthFieldPrepender(FRAME_HEADER_BYTES))
                         .addLast(factory.create());
             }
         };
     }
 
-    private final class QuestionHandler extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) throws Exception {
             ItemsRequest request = ItemsRequest.parseFrom(frame.nioBuffer());
-            Waiting asker = new Waiting(context.channel(), request.getAfterRevision(), request.getDeflate());
+            PendingRequest asker =
+                    new PendingRequest(context.channel(), request.getAfterRevision(), request.getDeflate());
             if (request.getAfterRevision() < mirror.revision() || request.getWaitMillis() <= 0) {
-                answer(asker);
+                sendAnswer(asker);
                 return;
             }
-            waiting.add(asker);
+            pendingRequests.add(asker);
             loop.schedule(
                     () -> {
-                        if (waiting.remove(asker)) {
-                            answer(asker);
+                        if (pendingRequests.remove(asker)) {
+                            sendAnswer(asker);
                         }
                     },
                     request.getWaitMillis(),
@@ -238,7 +241,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            waiting.removeIf(asker -> asker.channel() == context.channel());
+            pendingRequests.removeIf(asker -> asker.channel() == context.channel());
         }
 
         @Override
@@ -248,14 +251,14 @@
     }
 
     /** One connection to a peer, with at most one question under way. */
-    private final class Asker extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class PeerConnection extends SimpleChannelInboundHandler<ByteBuf> {
         private final String ip;
         private final ResponseTimeout timeout = new ResponseTimeout(loop);
         private Channel channel;
-        private ItemsRequest question;
-        private Consumer<Optional<ItemsAnswer>> taker;
+        private ItemsRequest request;
+        private Consumer<Optional<ItemsAnswer>> callback;
 
-        Asker(String ip) {
+        PeerConnection(String ip) {
             this.ip = ip;
         }
 
@@ -264,39 +267,39 @@
             channel = context.channel();
         }
 
-        void ask(ItemsRequest asked, Consumer<Optional<ItemsAnswer>> follower) {
-            question = asked;
-            taker = follower;
-            timeout.start(asked.getWaitMillis() + FIRST_BYTE_MARGIN_MILLIS, this::late);
+        void send(ItemsRequest asked, Consumer<Optional<ItemsAnswer>> follower) {
+            request = asked;
+            callback = follower;
+            timeout.start(asked.getWaitMillis() + FIRST_BYTE_MARGIN_MILLIS, this::handleTimeout);
             write(channel, asked);
         }
 
-        private void late() {
+        private void handleTimeout() {
             finish(ItemsRequestOutcome.TIMED_OUT, Optional.empty());
             channel.close();
         }
 
         private void finish(ItemsRequestOutcome outcome, Optional<ItemsAnswer> answer) {
-            if (taker != null) {
-                Consumer<Optional<ItemsAnswer>> once = taker;
-                taker = null;
+            if (callback != null) {
+                Consumer<Optional<ItemsAnswer>> once = callback;
+                callback = null;
                 timeout.cancel();
-                ended(outcome, ip, question, timeout.receivedBytes(), timeout.elapsedMillis());
+                recordOutcome(outcome, ip, request, timeout.receivedBytes(), timeout.elapsedMillis());
                 once.accept(answer);
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) throws Exception {
-            ItemsAnswer answer = ItemsAnswerCodec.decompress(ItemsAnswer.parseFrom(frame.nioBuffer()), MOST_BYTES);
-            keep(this);
+            ItemsAnswer answer = ItemsAnswerCodec.decompress(ItemsAnswer.parseFrom(frame.nioBuffer()), MAX_MESSAGE_BYTES);
+            keepIdle(this);
             finish(ItemsRequestOutcome.ANSWERED, Optional.of(answer));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            if (idle == this) {
-                idle = null;
+            if (idleConnection == this) {
+                idleConnection = null;
             }
             finish(ItemsRequestOutcome.CLOSED, Optional.empty());
         }
