--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CatalogFreshness.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CatalogFreshness.java
@@ -1,9 +1,9 @@
 package org.whinwharf.front;
 
 /**
- * What a request is let in or turned away by.
+ * Version and age of the configuration that decides the admission or rejection of a request.
  *
- * @param catalogVersion version of the catalog in force; 0 when none is known
- * @param itemsAgeMillis how long ago the published items were known to be the newest
+ * @param catalogVersion version of the catalog in force; 0 when no catalog is loaded
+ * @param itemsAgeMillis time in milliseconds since the published items were last confirmed to be current
  */
 record CatalogFreshness(long catalogVersion, long itemsAgeMillis) {}
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FleetStateExchange.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FleetStateExchange.java
@@ -9,7 +9,12 @@
 import org.whinwharf.wire.fleet.MemberPhase;
 import org.whinwharf.wire.fleet.MemberReport;
 
-/** Puts what this process does into its reports, and what others do into its targets and quotas. */
+/**
+ * Exchanges load and quota use with the other members of the fleet.
+ *
+ * <p>Writes the local state into this process's report, and applies the reports of other members to the local targets
+ * and quotas.
+ */
 final class FleetStateExchange {
     private final FrontSettings settings;
     private final MemberTable members;
@@ -36,9 +41,9 @@
     }
 
     /**
-     * Makes this process's next report.
+     * Builds the next report of this process.
      *
-     * @param phase what the process does
+     * @param phase phase of this process
      */
     void updateLocalReport(MemberPhase phase) {
         MemberReport.Builder report = MemberReport.newBuilder()
@@ -51,7 +56,8 @@
                 .setWatching(feed.watchHealthy())
                 .setProcessorPercent(settings.processorPercent());
         for (TargetEntry entry : targets.all()) {
-            // In a large fleet this news is too old to place requests by; a coordinator has the counts there.
+            // Large fleets propagate reports too slowly for placement decisions; there the coordinator keeps these
+            // counts.
             if (entry.state().ownRunning() > 0 && !members.large()) {
                 report.addUsesBuilder()
                         .setTargetDigest(entry.state().target().digest())
@@ -65,38 +71,44 @@
         members.report(report);
     }
 
-    /** Takes what another process admitted and has under way. */
+    /** Applies another member's report: its admitted quota totals at once, its load at the next aggregation. */
     void applyReport(MemberReport report) {
         remoteLoadsChanged = true;
         feed.reportReceived(report);
         report.getQuotasList()
-                .forEach(use -> quotas.heard(
+                .forEach(quota -> quotas.heard(
                         report.getName(),
                         report.getIncarnation(),
-                        use.getOrganisationDigest(),
-                        use.getAdmittedTotal(),
+                        quota.getOrganisationDigest(),
+                        quota.getAdmittedTotal(),
                         ticker.nowMillis()));
     }
 
-    /** Sums up the requests of all others at each target. */
+    /**
+     * Recomputes the load that the other members put on each target.
+     *
+     * <p>A small fleet recomputes it whenever a report arrived; otherwise it is recomputed once per silence interval.
+     *
+     * @param nowMillis monotonic clock in milliseconds
+     */
     void updateRemoteLoads(long nowMillis) {
-        long pauseMillis = remoteLoadsChanged && !members.large() ? 0 : MemberTable.SILENT_MILLIS;
-        if (nowMillis - aggregatedAtMillis < pauseMillis) {
+        long intervalMillis = remoteLoadsChanged && !members.large() ? 0 : MemberTable.SILENT_MILLIS;
+        if (nowMillis - aggregatedAtMillis < intervalMillis) {
             return;
         }
         remoteLoadsChanged = false;
         aggregatedAtMillis = nowMillis;
-        Map<Integer, int[]> uses = new HashMap<>();
+        Map<Integer, int[]> loadsByTarget = new HashMap<>();
         for (Member member : members.alive(nowMillis)) {
-            member.report().getUsesList().forEach(use -> {
-                int[] sums = uses.computeIfAbsent(use.getTargetDigest(), digest -> new int[2]);
-                sums[0] += use.getRunning();
-                sums[1] += use.getPrefillTokens();
+            member.report().getUsesList().forEach(load -> {
+                int[] sums = loadsByTarget.computeIfAbsent(load.getTargetDigest(), digest -> new int[2]);
+                sums[0] += load.getRunning();
+                sums[1] += load.getPrefillTokens();
             });
         }
-        int[] none = new int[2];
+        int[] noLoad = new int[2];
         for (TargetEntry entry : targets.all()) {
-            int[] sums = uses.getOrDefault(entry.state().target().digest(), none);
+            int[] sums = loadsByTarget.getOrDefault(entry.state().target().digest(), noLoad);
             entry.state().others(sums[0], sums[1]);
         }
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Gossip.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Gossip.java
@@ -15,28 +15,28 @@
 import org.whinwharf.wire.fleet.MemberReport;
 
 /**
- * Tells the other processes what this one does, and hears of them.
+ * Propagates the state of this process to the other members and receives theirs.
  *
- * <p>In a small fleet each process tells each other one directly. In a larger one it tells a few at random, and adds
- * the newest signs of life of all processes, which are a dozen bytes each. Its coordinators hear of it directly, but
- * only its own report: signs of life from everybody would take a fifth of their processor. A process that hears of one
- * that it does not know asks for the reports of all.
+ * <p>In a small fleet each member sends its report directly to every other member. In a large fleet it sends the report
+ * to a few random members, with the newest heartbeats of all members at a dozen bytes each. Its coordinators also get
+ * the report directly, but without heartbeats: processing heartbeats from every member would take a fifth of their
+ * processor time. A process that receives a heartbeat of an unknown member requests the reports of all members.
  */
 final class Gossip {
-    /** Peers told in one round of a larger fleet; with signs of life of ninety processes that is 9 KB/s. */
+    /** Random members contacted per round of a large fleet; with the heartbeats of ninety members this costs 9 KB/s. */
     private static final int FAN_OUT = 2;
-    /** Rounds of a small fleet for one of a larger. */
+    /** A large fleet sends in every n-th round only. */
     private static final int LARGE_FLEET_ROUND_DIVISOR = 2;
-    /** Most bytes of a datagram, below the usual MTU. */
+    /** Maximum size of a datagram in bytes; stays below the usual MTU. */
     private static final int MAX_DATAGRAM_BYTES = 1_300;
-    /** Signs of life in a datagram; with a report or two they fill it. */
+    /** Maximum number of heartbeats in a datagram; with one or two reports they fill it. */
     private static final int MAX_HEARTBEATS = 90;
-    /** Share of rounds in which a seed is told too, so that two halves that lost each other meet again. */
+    /** Probability that a round also contacts the seeds, so that the parts of a partitioned fleet meet again. */
     private static final double SEED_PROBABILITY = 0.1;
 
-    /** Takes what was heard. */
+    /** Receives the reports of other members. */
     interface Listener {
-        /** Takes a report that is news. */
+        /** Handles a report that is newer than the last one of the same member. */
         void reportReceived(MemberReport report);
     }
 
@@ -68,7 +68,7 @@
         datagrams.addListener(this::handleDatagram);
     }
 
-    /** Tells peers the own state, and what was heard last as far as room allows. */
+    /** Sends the local report to peers, and as much of the other members' state as fits. */
     void runRound() {
         roundCount++;
         if (members.large()) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Tells peers at once, since a change of the own phase cannot wait for the next round. */
+    /** Sends immediately, because a change of the local phase cannot wait for the next round. */
     void runRoundNow() {
         roundCount = -1;
         runRound();
@@ -89,22 +89,25 @@
     private void runSmallFleetRound() {
         Set<String> ips = new LinkedHashSet<>();
         members.all().forEach(member -> ips.add(member.report().getIp()));
-        boolean alone = ips.size() < 2;
-        addSeeds(ips, alone);
+        boolean fewPeersKnown = ips.size() < 2;
+        addSeeds(ips, fewPeersKnown);
         FleetDatagram.Builder datagram = newDatagram().addMembers(members.own());
         addReports(datagram, shuffledAliveMembers());
-        send(datagram.setRosterWanted(alone || unknownMemberSeen).build(), ips);
+        send(datagram.setRosterWanted(fewPeersKnown || unknownMemberSeen).build(), ips);
     }
 
     private void runLargeFleetRound() {
-        FleetDatagram report = newDatagram().addMembers(members.own()).build();
+        FleetDatagram reportOnly = newDatagram().addMembers(members.own()).build();
         Set<String> coordinators = new LinkedHashSet<>(coordinatorIps.get());
         coordinators.remove(settings.ip());
-        datagrams.send(report, coordinators);
+        datagrams.send(reportOnly, coordinators);
         Set<String> ips = new LinkedHashSet<>();
-        List<Member> alive = members.alive(ticker.nowMillis());
-        for (int i = 0; i < FAN_OUT && !alive.isEmpty(); i++) {
-            ips.add(alive.remove(random.nextInt(alive.size())).report().getIp());
+        List<Member> candidates = members.alive(ticker.nowMillis());
+        for (int i = 0; i < FAN_OUT && !candidates.isEmpty(); i++) {
+            ips.add(candidates
+                    .remove(random.nextInt(candidates.size()))
+                    .report()
+                    .getIp());
         }
         addSeeds(ips, false);
         FleetDatagram.Builder datagram = newDatagram().addMembers(members.own());
@@ -117,8 +120,8 @@
         send(datagram.setRosterWanted(unknownMemberSeen).build(), ips);
     }
 
-    private void addSeeds(Set<String> ips, boolean certainly) {
-        if (certainly || random.nextDouble() < SEED_PROBABILITY) {
+    private void addSeeds(Set<String> ips, boolean always) {
+        if (always || random.nextDouble() < SEED_PROBABILITY) {
             ips.addAll(settings.seedIps());
         }
         ips.remove(settings.ip());
@@ -139,13 +142,13 @@
         return alive;
     }
 
-    /** Adds reports while there is room, and returns those that found none. */
+    /** Adds reports while they fit into the datagram, and returns those that do not. */
     private static List<Member> addReports(FleetDatagram.Builder datagram, List<Member> reports) {
-        int room = MAX_DATAGRAM_BYTES - datagram.build().getSerializedSize();
+        int remainingBytes = MAX_DATAGRAM_BYTES - datagram.build().getSerializedSize();
         for (int i = 0; i < reports.size(); i++) {
             MemberReport report = reports.get(i).report();
-            room -= report.getSerializedSize() + 4;
-            if (room < 0) {
+            remainingBytes -= report.getSerializedSize() + 4;
+            if (remainingBytes < 0) {
                 return reports.subList(i, reports.size());
             }
             datagram.addMembers(report);
@@ -153,7 +156,7 @@
         return List.of();
     }
 
-    private void handleDatagram(FleetDatagram datagram, String fromIp) {
+    private void handleDatagram(FleetDatagram datagram, String senderIp) {
         long nowMillis = ticker.nowMillis();
         for (MemberReport report : datagram.getMembersList()) {
             if (members.hear(report, nowMillis)) {
@@ -169,17 +172,17 @@
             unknownMemberSeen |= !members.hear(beat, nowMillis);
         }
         if (datagram.getRosterWanted()) {
-            sendRoster(fromIp);
+            sendRoster(senderIp);
         }
     }
 
     private void sendRoster(String ip) {
-        List<Member> left = shuffledAliveMembers();
+        List<Member> remaining = shuffledAliveMembers();
         do {
             FleetDatagram.Builder datagram = newDatagram().addMembers(members.own());
-            List<Member> rest = addReports(datagram, left);
+            List<Member> notAdded = addReports(datagram, remaining);
             datagrams.send(datagram.build(), ip);
-            left = rest.size() < left.size() ? rest : List.of();
-        } while (!left.isEmpty());
+            remaining = notAdded.size() < remaining.size() ? notAdded : List.of();
+        } while (!remaining.isEmpty());
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFeed.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFeed.java
@@ -22,45 +22,48 @@
 import org.whinwharf.wire.fleet.MemberReport;
 
 /**
- * Keeps the published items up to date, from the publishing service or else from peers.
+ * Keeps the published items up to date, from the publishing service or otherwise from peers.
  *
- * <p>A process whose own watch fails would go on with revoked keys and old routes while its peers know better. It asks
- * them instead, and goes back to its own watch when that works again. In a large fleet only a few processes of each
- * data centre watch at all, since the service's reads grow more slowly than the fleet; the others ask those.
+ * <p>A process whose own watch fails would continue with revoked keys and old routes while its peers have newer ones.
+ * It therefore polls peers until its own watch works again. In a large fleet only a few processes of each data centre
+ * watch the service, because its read capacity grows more slowly than the fleet; the others poll the watchers.
  */
 public final class ItemFeed implements ItemFreshness {
-    /** Silence of the own watch after which peers are asked; a watch answers at least this often. */
+    /**
+     * Time without an answer after which the local watch counts as failed; a working watch answers at least this often.
+     */
     private static final long WATCH_TIMEOUT_MILLIS = 2_900;
     /**
-     * Time within which a watch that works brings what a peer knows already: twice the pause between watches. What is
-     * left of the bound on a change has to do for the question to that peer, on a host that is slow.
+     * Time within which a working local watch delivers items that a peer already holds: twice the interval between
+     * watches. The rest of the time limit for applying a change must suffice for the request to that peer on a slow
+     * host.
      */
     private static final long WATCH_CATCH_UP_MILLIS = 400;
-    /** Time a peer may keep a question waiting. */
+    /** Time for which a peer may hold a poll until an item changes. */
     private static final long PEER_LONG_POLL_MILLIS = 1_000;
-    /** Fleet size up to which every process watches. */
+    /** Fleet size up to which every process watches the service. */
     private static final int SMALL_FLEET_LIMIT = 12;
-    /** Watching processes in each data centre of a larger fleet: one may fail and one be replaced meanwhile. */
+    /** Watchers in each data centre of a larger fleet: one may fail while another is being replaced. */
     private static final int WATCHERS_PER_DATA_CENTRE = 3;
 
-    /** Age of the items that a watch, the pause after it and a peer's question together do not explain. */
+    /** Age beyond which items are stale: longer than a watch, the interval after it and a poll of a peer together. */
     private static final long STALE_THRESHOLD_MILLIS = 4_750;
-    /** Time after which the next process takes over too, longer than a first answer takes to reach it. */
+    /** Delay between the takeovers of successive processes; longer than a first answer takes to reach the next one. */
     private static final long TAKE_OVER_STAGGER_MILLIS = 500;
-    /** Time for which a process that took over watches. */
+    /** Time for which a process watches after a takeover. */
     private static final long TAKE_OVER_DURATION_MILLIS = 10_000;
 
-    /** Takes changes of published items. */
+    /** Receives changes of published items. */
     public interface Listener {
         /**
-         * Takes one change.
+         * Handles one change.
          *
-         * @param value the item or its removal
-         * @param duringService false while the first copy is read
-         * @param readableForMillis time for which the service has been readable again, 0 while it is not;
-         *     {@link Long#MAX_VALUE} when it always was, or that is long ago
+         * @param value the changed item or its removal
+         * @param afterInitialSnapshot false for the items of the first snapshot
+         * @param readableForMillis time in milliseconds for which the service has been readable without interruption; 0
+         *     while it is unreadable, {@link Long#MAX_VALUE} when no outage is known or the last one ended long ago
          */
-        void itemChanged(PublishedValue value, boolean duringService, long readableForMillis);
+        void itemChanged(PublishedValue value, boolean afterInitialSnapshot, long readableForMillis);
     }
 
     private final FrontSettings settings;
@@ -70,22 +73,22 @@
     private final Ticker ticker;
     private final Random random;
     private final PublisherAvailability service = new PublisherAvailability();
-    private Listener listener = (value, duringService, readableForMillis) -> {};
+    private Listener listener = (value, afterInitialSnapshot, readableForMillis) -> {};
     private long lastServiceReadAtMillis = Long.MIN_VALUE / 2;
     private long confirmedAtMillis;
     private long takenOverUntilMillis = Long.MIN_VALUE;
     private boolean pollInFlight;
     private boolean catchUpInFlight;
     private String lastPeerIp = "";
-    /** Whether peers watch, as they said in answers since their last report. */
+    /** Whether a peer watches the service, by IP address, from its answers since its last report. */
     private final Map<String, Boolean> watchingByIp = new HashMap<>();
-    /** Peers that last said that they had not heard of the service for long. */
+    /** IP addresses of peers whose last answer held stale items. */
     private final Set<String> stalePeerIps = new HashSet<>();
-    /** A peer that knows newer items; empty when none is known. */
+    /** IP address of a peer with newer items; empty when none is known. */
     private String newerPeerIp = "";
-    /** Revision that it holds. */
+    /** Revision that this peer reported. */
     private long newerPeerRevision;
-    /** Steady time since which peers have known more. */
+    /** Monotonic time since which peers have held newer items. */
     private long behindSinceMillis;
 
     ItemFeed(
@@ -104,18 +107,18 @@
     }
 
     /**
-     * Sets who takes the changes.
+     * Sets the listener for changes and replaces the previous one.
      *
-     * @param taker the listener, called on the front's thread
+     * @param newListener the listener, called on the front's thread
      */
-    public void listener(Listener taker) {
-        listener = taker;
+    public void listener(Listener newListener) {
+        listener = newListener;
     }
 
     /**
-     * Returns the revision up to which the items are known.
+     * Returns the revision of the local items.
      *
-     * @return revision; 0 before the first copy
+     * @return revision; 0 before the first snapshot
      */
     public long revision() {
         return mirror.revision();
@@ -127,62 +130,62 @@
     }
 
     /**
-     * Tells whether this process should watch the service itself.
+     * Tells whether this process is to watch the publishing service itself.
      *
-     * @return true when it should
+     * @return true for the first processes of the data centre by name, in a small fleet, and after a takeover
      */
     public boolean shouldWatch() {
         return ticker.nowMillis() < takenOverUntilMillis || watchRank() < WATCHERS_PER_DATA_CENTRE;
     }
 
-    /** Returns how many processes of this data centre watch before this one does; 0 in a small fleet. */
+    /** Returns how many live processes of this data centre precede this one by name; 0 in a small fleet. */
     private int watchRank() {
         List<Member> alive = members.alive(ticker.nowMillis());
         if (alive.size() < SMALL_FLEET_LIMIT) {
             return 0;
         }
-        int ahead = 0;
+        int rank = 0;
         for (Member member : alive) {
             MemberReport report = member.report();
             boolean sameDataCentre = report.getDataCentre().equals(settings.dataCentre());
             if (sameDataCentre && report.getName().compareTo(settings.name()) < 0) {
-                ahead++;
+                rank++;
             }
         }
-        return ahead;
+        return rank;
     }
 
     /**
-     * Begins to watch when nobody seems to. Those whose turn it is by name may all be cut off; the next ones begin one
-     * after the other, until one has an answer.
+     * Starts to watch when the items are stale, because all designated watchers may be cut off from the service. The
+     * other processes take over one after the other by rank, until one of them gets an answer.
      */
     private void takeOverIfStale() {
         if (mirror.revision() == 0 || ageMillis() <= STALE_THRESHOLD_MILLIS) {
             return;
         }
-        int turn = Math.max(0, watchRank() - WATCHERS_PER_DATA_CENTRE);
-        if (ageMillis() > STALE_THRESHOLD_MILLIS + turn * TAKE_OVER_STAGGER_MILLIS) {
+        int position = Math.max(0, watchRank() - WATCHERS_PER_DATA_CENTRE);
+        if (ageMillis() > STALE_THRESHOLD_MILLIS + position * TAKE_OVER_STAGGER_MILLIS) {
             takenOverUntilMillis = ticker.nowMillis() + TAKE_OVER_DURATION_MILLIS;
         }
     }
 
     /**
-     * Takes everything that the service publishes.
+     * Replaces the local items with a snapshot read from the service.
      *
-     * @param all all items
-     * @param revision revision up to which they are complete
+     * @param all all published items
+     * @param revision revision up to which the snapshot is complete
      */
     public void applySnapshot(Collection<PublishedValue> all, long revision) {
-        boolean duringService = mirror.revision() > 0;
+        boolean afterInitialSnapshot = mirror.revision() > 0;
         recordServiceRead();
-        notifyChanges(mirror.replace(all, revision), duringService);
+        notifyChanges(mirror.replace(all, revision), afterInitialSnapshot);
     }
 
     /**
-     * Takes what a watch of the service returned; no events mean that nothing changed.
+     * Applies the events that a watch of the service returned.
      *
-     * @param events changes, in order
-     * @param revision revision up to which they are complete
+     * @param events changes in order; empty when nothing changed
+     * @param revision revision up to which the events are complete
      */
     public void applyWatchEvents(Collection<PublishedValue> events, long revision) {
         recordServiceRead();
@@ -190,9 +193,9 @@
     }
 
     /**
-     * Takes that the service could not be read.
+     * Records a failed read of the service.
      *
-     * @param reason what was seen
+     * @param reason cause of the failure, for the log
      */
     public void serviceReadFailed(String reason) {
         if (service.readFailed(ticker.nowMillis())) {
@@ -201,8 +204,10 @@
     }
 
     /**
-     * Tells whether the own watch works and goes on. A process that was the third of its data centre and is no longer
-     * has just heard from the service, and hears nothing more.
+     * {@inheritDoc}
+     *
+     * <p>Checks the watcher role too: a process that has just lost it, such as the former third of its data centre,
+     * read the service a moment ago but gets no further events.
      */
     @Override
     public boolean watchHealthy() {
@@ -212,8 +217,10 @@
     }
 
     /**
-     * Takes a peer's report. The peer that this process waits for may itself be cut off from the service and know no
-     * better; one that says that it knows newer items is asked for them.
+     * Handles a report of a peer and requests its items when they are newer.
+     *
+     * <p>The peer whose answer is awaited may itself be cut off from the service and hold no newer items, so this
+     * request does not wait for it.
      */
     void reportReceived(MemberReport report) {
         watchingByIp.remove(report.getIp());
@@ -228,7 +235,7 @@
         catchUp();
     }
 
-    /** Asks a peer that knows newer items, unless the own watch may bring them any moment. */
+    /** Requests newer items from the peer that reported them, unless the local watch is about to deliver them. */
     private void catchUp() {
         if (catchUpInFlight || newerPeerIp.isEmpty() || newerPeerRevision <= mirror.revision()) {
             return;
@@ -238,18 +245,18 @@
             return;
         }
         catchUpInFlight = true;
-        String askedIp = newerPeerIp;
-        peers.requestChanges(askedIp, settings.peerPort(), 0, answer -> {
+        String requestedIp = newerPeerIp;
+        peers.requestChanges(requestedIp, settings.peerPort(), 0, answer -> {
             catchUpInFlight = false;
             answer.ifPresent(this::applyPeerAnswer);
-            if (answer.isEmpty() && askedIp.equals(newerPeerIp)) {
-                // The next report of any peer that knows more names another.
+            if (answer.isEmpty() && requestedIp.equals(newerPeerIp)) {
+                // The next report of a peer with newer items selects another one.
                 newerPeerIp = "";
             }
         });
     }
 
-    /** Asks peers when they know more, or when the own watch does not work. */
+    /** Requests items from peers when they have newer ones or when the local watch does not work. */
     void tick() {
         takeOverIfStale();
         catchUp();
@@ -262,15 +269,18 @@
         }
         pollInFlight = true;
         lastPeerIp = peer.get().report().getIp();
-        String askedIp = lastPeerIp;
-        peers.requestChanges(askedIp, settings.peerPort(), PEER_LONG_POLL_MILLIS, answer -> {
+        String requestedIp = lastPeerIp;
+        peers.requestChanges(requestedIp, settings.peerPort(), PEER_LONG_POLL_MILLIS, answer -> {
             pollInFlight = false;
             answer.ifPresentOrElse(this::applyPeerAnswer, () -> lastPeerIp = "");
-            answer.ifPresent(taken -> recordPeerState(askedIp, taken));
+            answer.ifPresent(received -> recordPeerState(requestedIp, received));
         });
     }
 
-    /** Notes how good a source a peer is; once one is in touch, the others may be as well. */
+    /**
+     * Records whether a peer watches the service and whether its items are stale. A peer with current items clears the
+     * record of stale peers, because those may have reached the service again as well.
+     */
     private void recordPeerState(String peerIp, ItemsAnswer answer) {
         if (answer.hasWatching()) {
             watchingByIp.put(peerIp, answer.getWatching());
@@ -289,7 +299,7 @@
     private Optional<Member> selectPeer() {
         List<Member> candidates = members.alive(ticker.nowMillis());
         Collections.shuffle(candidates, random);
-        Comparator<Member> order = Comparator.comparing(
+        Comparator<Member> preference = Comparator.comparing(
                         (Member member) -> member.report().getRevision() <= mirror.revision())
                 .thenComparing(member -> stalePeerIps.contains(member.report().getIp()))
                 .thenComparing(member -> !isWatching(member.report()))
@@ -298,20 +308,20 @@
         return candidates.stream()
                 .filter(member -> member.report().getRevision() >= mirror.revision()
                         && member.report().getRevision() > 0)
-                .min(order);
+                .min(preference);
     }
 
     private void applyPeerAnswer(ItemsAnswer answer) {
         long nowMillis = ticker.nowMillis();
         confirmedAtMillis = Math.max(confirmedAtMillis, nowMillis - answer.getAgeMillis());
         service.peerReported(answer, nowMillis);
-        boolean duringService = mirror.revision() > 0;
+        boolean afterInitialSnapshot = mirror.revision() > 0;
         List<PublishedValue> values = PeerItems.toPublishedValues(answer.getItemsList());
         notifyChanges(
                 answer.getComplete()
                         ? mirror.replace(values, answer.getRevision())
                         : mirror.apply(values, answer.getRevision()),
-                duringService);
+                afterInitialSnapshot);
     }
 
     private void recordServiceRead() {
@@ -336,9 +346,9 @@
                 .call();
     }
 
-    private void notifyChanges(List<PublishedValue> changed, boolean duringService) {
+    private void notifyChanges(List<PublishedValue> changed, boolean afterInitialSnapshot) {
         long readableForMillis = readableForMillis();
-        changed.forEach(value -> listener.itemChanged(value, duringService, readableForMillis));
+        changed.forEach(value -> listener.itemChanged(value, afterInitialSnapshot, readableForMillis));
         if (!changed.isEmpty()) {
             peers.itemsChanged();
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFreshness.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFreshness.java
@@ -1,25 +1,26 @@
 package org.whinwharf.front;
 
-/** How fresh the published items of this process are, by its own watch or by what peers said of theirs. */
+/** Reports how fresh the published items of this process are, based on its own watch or on the answers of peers. */
 interface ItemFreshness {
     /**
-     * Returns how long ago the items were known to be the newest.
+     * Returns the time since the items were last confirmed to be current.
      *
-     * @return milliseconds; since the start of the clock before the first answer
+     * @return milliseconds; counted from the origin of the clock until the first answer arrives
      */
     long ageMillis();
 
     /**
-     * Returns for how long the service has been readable.
+     * Returns how long the publishing service has been readable without interruption.
      *
-     * @return milliseconds; 0 while it is not, {@link Long#MAX_VALUE} when it always was, or that is long ago
+     * @return milliseconds; 0 while it is unreadable, {@link Long#MAX_VALUE} when no outage is known or the last one
+     *     ended long ago
      */
     long readableForMillis();
 
     /**
-     * Tells whether the own watch works and goes on.
+     * Tells whether this process watches the publishing service, successfully, and continues to do so.
      *
-     * @return true when it does
+     * @return true while the local watch works and this process is to keep it
      */
     boolean watchHealthy();
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemsRequestOutcome.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemsRequestOutcome.java
@@ -2,18 +2,18 @@
 
 import java.util.Locale;
 
-/** How a question for published items to a peer ended. */
+/** Outcome of a request to a peer for published items. */
 enum ItemsRequestOutcome {
-    /** The whole answer came. */
+    /** The complete answer arrived. */
     ANSWERED,
-    /** No connection could be made. */
+    /** The connection could not be established. */
     UNREACHABLE,
-    /** Nothing, or not the whole answer, came in time. */
+    /** The answer did not begin, or did not complete, in time. */
     TIMED_OUT,
-    /** The connection ended before the whole answer. */
+    /** The connection closed before the answer was complete. */
     CLOSED;
 
-    /** Returns the value of the metric's tag and of the log's reason. */
+    /** Returns the value for the metric's tag and the log's reason: the constant's name in lower case with hyphens. */
     String tag() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerDatagrams.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerDatagrams.java
@@ -18,12 +18,12 @@
 import java.util.List;
 import org.whinwharf.wire.fleet.FleetDatagram;
 
-/** Datagrams between the front processes of one fleet; they may be lost, and each use bears that. */
+/** Sends and receives datagrams between the fronts of a fleet. Datagrams may be lost; every use tolerates that. */
 final class PeerDatagrams {
-    /** Takes datagrams. */
+    /** Receives datagrams. */
     interface Listener {
-        /** Takes one datagram that came from the given address. */
-        void datagramReceived(FleetDatagram datagram, String fromIp);
+        /** Handles one datagram from the given IP address. */
+        void datagramReceived(FleetDatagram datagram, String senderIp);
     }
 
     private final FrontSettings settings;
@@ -56,16 +56,16 @@
         }
     }
 
-    /** Sends a datagram to the process on a host. */
+    /** Sends a datagram to the front on one host. */
     void send(FleetDatagram datagram, String ip) {
         send(datagram, List.of(ip));
     }
 
     /**
-     * Sends a datagram to the processes on some hosts.
+     * Sends a datagram to the fronts on several hosts.
      *
-     * <p>It goes to the socket itself. A full socket loses it, as a link may, and the queues of a channel would only
-     * make it late.
+     * <p>Writes directly to the socket and bypasses the channel. A full send buffer drops the datagram, as the network
+     * may; queueing it in the channel would only delay it.
      */
     void send(FleetDatagram datagram, Collection<String> ips) {
         ByteBuffer bytes = ByteBuffer.wrap(datagram.toByteArray());
@@ -83,8 +83,8 @@
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet)
                 throws InvalidProtocolBufferException {
             FleetDatagram datagram = FleetDatagram.parseFrom(packet.content().nioBuffer());
-            String fromIp = packet.sender().getAddress().getHostAddress();
-            listeners.forEach(listener -> listener.datagramReceived(datagram, fromIp));
+            String senderIp = packet.sender().getAddress().getHostAddress();
+            listeners.forEach(listener -> listener.datagramReceived(datagram, senderIp));
         }
 
         @Override
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItemSource.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItemSource.java
@@ -4,18 +4,19 @@
 import java.util.function.Consumer;
 import org.whinwharf.wire.fleet.ItemsAnswer;
 
-/** Peers, as a source of published items. */
+/** Reads published items from peers. */
 interface PeerItemSource {
     /**
-     * Asks a peer for what changed.
+     * Requests from a peer the items that changed after the local revision.
      *
-     * @param ip its IP number
-     * @param port its port for items
-     * @param waitMillis time that it may wait for a change; 0 for an answer at once
-     * @param taker gets the answer; empty when the peer does not answer
+     * @param ip IP address of the peer
+     * @param port port on which the peer serves items
+     * @param waitMillis time in milliseconds for which the peer may hold the request until an item changes; 0 requests
+     *     an immediate answer
+     * @param callback receives the answer, or empty when the request fails or times out
      */
-    void requestChanges(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker);
+    void requestChanges(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> callback);
 
-    /** Tells that items changed here, for peers that wait. */
+    /** Notifies waiting peers that local items changed. */
     void itemsChanged();
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItems.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItems.java
@@ -31,18 +31,22 @@
 import org.whinwharf.wire.fleet.ItemsRequest;
 import org.whinwharf.wire.fleet.PublishedItem;
 
-/** Hands the published items from process to process, for those that cannot read the publishing service. */
+/**
+ * Exchanges published items with other fronts, for those that do not read the publishing service themselves.
+ *
+ * <p>Serves the requests of peers, and sends requests to peers over connections that it reuses.
+ */
 final class PeerItems implements PeerItemSource {
-    /** Most bytes of a message: a catalog at its largest and all targets. */
+    /** Maximum size of a message in bytes: fits the largest catalog and all targets. */
     private static final int MAX_MESSAGE_BYTES = 8 * 1_024 * 1_024;
-    /** Length of the frame header. */
+    /** Size of the length field before each message. */
     private static final int FRAME_HEADER_BYTES = 4;
-    /** Time to connect to a peer before another one is asked. */
+    /** Time after which a connection attempt fails, so that another peer can be asked. */
     private static final int CONNECT_TIMEOUT_MILLIS = 300;
-    /** Time beyond the agreed wait within which an answer must begin. */
+    /** Margin beyond the requested wait within which an answer must begin. */
     private static final long FIRST_BYTE_MARGIN_MILLIS = 500;
 
-    /** Longest time that is told as it is; beyond it the difference means nothing to an asker. */
+    /** Longest duration reported to a peer; longer ones are capped, because a peer treats them alike. */
     private static final long MAX_REPORTED_MILLIS = 60_000;
 
     private final EventLoopGroup loop;
@@ -52,7 +56,7 @@
     private ItemFreshness freshness;
     private Channel server;
     private CachedAnswer cachedAnswer = NO_CACHED_ANSWER;
-    /** The connection over which a peer answered last; null for none. */
+    /** The connection on which a peer answered last, kept for reuse; null when there is none. */
     private PeerConnection idleConnection;
 
     PeerItems(EventLoopGroup loop, ItemMirror mirror, FrontMetrics metrics) {
@@ -61,14 +65,21 @@
         this.metrics = metrics;
     }
 
+    /** A request of a peer that waits for a change. */
     private record PendingRequest(Channel channel, long afterRevision, boolean deflate) {}
 
-    /** An answer as it was last sent, since a change is asked for by many at the same revision. */
+    /** The last deflated answer, cached because many peers request a change from the same revision. */
     private record CachedAnswer(long afterRevision, long revision, ItemsAnswer answer) {}
 
     private static final CachedAnswer NO_CACHED_ANSWER = new CachedAnswer(-1, -1, ItemsAnswer.getDefaultInstance());
 
-    /** Begins to answer peers, with how fresh the items are. */
+    /**
+     * Starts to serve requests of peers.
+     *
+     * @param ip local IP address
+     * @param port local port
+     * @param itemsFreshness freshness of the local items, reported with each answer
+     */
     void start(String ip, int port, ItemFreshness itemsFreshness) {
         freshness = itemsFreshness;
         server = new ServerBootstrap()
@@ -87,18 +98,18 @@
         }
     }
 
-    /** Answers the peers that wait for a change. */
+    /** Answers all pending requests. */
     @Override
     public void itemsChanged() {
         cachedAnswer = NO_CACHED_ANSWER;
-        List<PendingRequest> all = List.copyOf(pendingRequests);
+        List<PendingRequest> ready = List.copyOf(pendingRequests);
         pendingRequests.clear();
-        all.forEach(this::sendAnswer);
+        ready.forEach(this::sendAnswer);
     }
 
     @Override
-    public void requestChanges(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
-        ItemsRequest question = ItemsRequest.newBuilder()
+    public void requestChanges(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> callback) {
+        ItemsRequest request = ItemsRequest.newBuilder()
                 .setAfterRevision(mirror.revision())
                 .setWaitMillis(waitMillis)
                 .setDeflate(true)
@@ -106,46 +117,46 @@
         PeerConnection kept = idleConnection;
         if (kept != null && kept.ip.equals(ip) && kept.channel.isActive()) {
             idleConnection = null;
-            kept.send(question, taker);
+            kept.send(request, callback);
             return;
         }
-        PeerConnection asker = new PeerConnection(ip);
-        long connectingAtNanos = System.nanoTime();
+        PeerConnection connection = new PeerConnection(ip);
+        long connectStartNanos = System.nanoTime();
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
-                .handler(framedPipeline(() -> asker, asker.timeout.handler()))
+                .handler(framedPipeline(() -> connection, connection.timeout.handler()))
                 .connect(ip, port)
-                .addListener((ChannelFuture done) -> {
-                    if (done.isSuccess()) {
-                        asker.send(question, taker);
+                .addListener((ChannelFuture connected) -> {
+                    if (connected.isSuccess()) {
+                        connection.send(request, callback);
                     } else {
-                        long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - connectingAtNanos);
-                        recordOutcome(ItemsRequestOutcome.UNREACHABLE, ip, question, 0, tookMillis);
-                        taker.accept(Optional.empty());
+                        long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - connectStartNanos);
+                        recordOutcome(ItemsRequestOutcome.UNREACHABLE, ip, request, 0, tookMillis);
+                        callback.accept(Optional.empty());
                     }
                 });
     }
 
     private void recordOutcome(
-            ItemsRequestOutcome outcome, String ip, ItemsRequest question, long receivedBytes, long tookMillis) {
+            ItemsRequestOutcome outcome, String ip, ItemsRequest request, long receivedBytes, long tookMillis) {
         metrics.itemsRequested(outcome);
         metrics.itemsReceived(receivedBytes);
         if (outcome != ItemsRequestOutcome.ANSWERED) {
-            FrontLog.itemsRequestFailed(ip, question.getAfterRevision(), outcome, receivedBytes, tookMillis);
+            FrontLog.itemsRequestFailed(ip, request.getAfterRevision(), outcome, receivedBytes, tookMillis);
         }
     }
 
-    /** Keeps a connection for the next question, in place of the one that was kept before. */
-    private void keepIdle(PeerConnection asker) {
-        if (idleConnection != null && idleConnection != asker) {
+    /** Keeps a connection for the next request and closes the one kept before. */
+    private void keepIdle(PeerConnection connection) {
+        if (idleConnection != null && idleConnection != connection) {
             idleConnection.channel.close();
         }
-        idleConnection = asker;
+        idleConnection = connection;
     }
 
-    /** Turns a message into items. */
+    /** Converts the items of a message to published values. */
     static List<PublishedValue> toPublishedValues(Collection<PublishedItem> items) {
         return items.stream()
                 .map(item -> new PublishedValue(
@@ -155,11 +166,11 @@
                 .toList();
     }
 
-    private void sendAnswer(PendingRequest asker) {
+    private void sendAnswer(PendingRequest request) {
         ItemsAnswer answer =
-                asker.deflate() ? deflatedAnswerAfter(asker.afterRevision()) : answerAfter(asker.afterRevision());
+                request.deflate() ? deflatedAnswerAfter(request.afterRevision()) : answerAfter(request.afterRevision());
         write(
-                asker.channel(),
+                request.channel(),
                 answer.toBuilder()
                         .setAgeMillis(clampMillis(freshness.ageMillis()))
                         .setReadableMillis(clampMillis(freshness.readableForMillis()))
@@ -173,8 +184,8 @@
 
     private ItemsAnswer deflatedAnswerAfter(long afterRevision) {
         if (cachedAnswer.afterRevision() != afterRevision || cachedAnswer.revision() != mirror.revision()) {
-            cachedAnswer =
-                    new CachedAnswer(afterRevision, mirror.revision(), ItemsAnswerCodec.compress(answerAfter(afterRevision)));
+            cachedAnswer = new CachedAnswer(
+                    afterRevision, mirror.revision(), ItemsAnswerCodec.compress(answerAfter(afterRevision)));
         }
         return cachedAnswer.answer();
     }
@@ -204,12 +215,13 @@
         SimpleChannelInboundHandler<ByteBuf> create();
     }
 
-    private static ChannelInitializer<SocketChannel> framedPipeline(HandlerFactory factory, ChannelHandler... first) {
+    private static ChannelInitializer<SocketChannel> framedPipeline(
+            HandlerFactory factory, ChannelHandler... precedingHandlers) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(SocketChannel channel) {
                 channel.pipeline()
-                        .addLast(first)
+                        .addLast(precedingHandlers)
                         .addLast(new LengthFieldBasedFrameDecoder(
                                 MAX_MESSAGE_BYTES, 0, FRAME_HEADER_BYTES, 0, FRAME_HEADER_BYTES))
                         .addLast(new LengthFieldPrepender(FRAME_HEADER_BYTES))
@@ -222,17 +234,17 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) throws Exception {
             ItemsRequest request = ItemsRequest.parseFrom(frame.nioBuffer());
-            PendingRequest asker =
+            PendingRequest pending =
                     new PendingRequest(context.channel(), request.getAfterRevision(), request.getDeflate());
             if (request.getAfterRevision() < mirror.revision() || request.getWaitMillis() <= 0) {
-                sendAnswer(asker);
+                sendAnswer(pending);
                 return;
             }
-            pendingRequests.add(asker);
+            pendingRequests.add(pending);
             loop.schedule(
                     () -> {
-                        if (pendingRequests.remove(asker)) {
-                            sendAnswer(asker);
+                        if (pendingRequests.remove(pending)) {
+                            sendAnswer(pending);
                         }
                     },
                     request.getWaitMillis(),
@@ -241,7 +253,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            pendingRequests.removeIf(asker -> asker.channel() == context.channel());
+            pendingRequests.removeIf(pending -> pending.channel() == context.channel());
         }
 
         @Override
@@ -250,7 +262,7 @@
         }
     }
 
-    /** One connection to a peer, with at most one question under way. */
+    /** A connection to a peer with at most one request in flight. */
     private final class PeerConnection extends SimpleChannelInboundHandler<ByteBuf> {
         private final String ip;
         private final ResponseTimeout timeout = new ResponseTimeout(loop);
@@ -267,11 +279,11 @@
             channel = context.channel();
         }
 
-        void send(ItemsRequest asked, Consumer<Optional<ItemsAnswer>> follower) {
-            request = asked;
-            callback = follower;
-            timeout.start(asked.getWaitMillis() + FIRST_BYTE_MARGIN_MILLIS, this::handleTimeout);
-            write(channel, asked);
+        void send(ItemsRequest newRequest, Consumer<Optional<ItemsAnswer>> newCallback) {
+            request = newRequest;
+            callback = newCallback;
+            timeout.start(newRequest.getWaitMillis() + FIRST_BYTE_MARGIN_MILLIS, this::handleTimeout);
+            write(channel, newRequest);
         }
 
         private void handleTimeout() {
@@ -281,17 +293,18 @@
 
         private void finish(ItemsRequestOutcome outcome, Optional<ItemsAnswer> answer) {
             if (callback != null) {
-                Consumer<Optional<ItemsAnswer>> once = callback;
+                Consumer<Optional<ItemsAnswer>> finishedCallback = callback;
                 callback = null;
                 timeout.cancel();
                 recordOutcome(outcome, ip, request, timeout.receivedBytes(), timeout.elapsedMillis());
-                once.accept(answer);
+                finishedCallback.accept(answer);
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) throws Exception {
-            ItemsAnswer answer = ItemsAnswerCodec.decompress(ItemsAnswer.parseFrom(frame.nioBuffer()), MAX_MESSAGE_BYTES);
+            ItemsAnswer answer =
+                    ItemsAnswerCodec.decompress(ItemsAnswer.parseFrom(frame.nioBuffer()), MAX_MESSAGE_BYTES);
             keepIdle(this);
             finish(ItemsRequestOutcome.ANSWERED, Optional.of(answer));
         }
