--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/AnswerTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/AnswerTest.java
@@ -19,14 +19,14 @@
 
 /** What callers get when targets fail in every way they can. */
 class AnswerTest {
-    private static final long LONG_MILLIS = 8_000;
+    private static final long LONG_TIMEOUT_MILLIS = 8_000;
 
     @Test
-    void wholeAnswerIsPassedOn() throws IOException {
+    void completeResponseIsForwarded() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.target(
                     "t", (request, socket) -> FakeTarget.write(socket, FakeTarget.answer(request, 200, "hello")));
-            fixture.publishCatalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
             assertThat(answer, startsWith("HTTP/1.1 200"));
             assertThat(answer, endsWith("\r\n\r\nhello"));
@@ -38,7 +38,7 @@
      * the caller book again, and the pickup would be booked twice.
      */
     @Test
-    void lostAnswerOfABookingIsNeverARefusal() throws IOException {
+    void lostResponseOfNonIdempotentRequestIsNotRejection() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             FakeTarget target = fixture.target("t", (request, socket) -> {
                 socket.setSoLinger(true, 0);
@@ -46,7 +46,7 @@
             });
             fixture.target(
                     "u", (request, socket) -> FakeTarget.write(socket, FakeTarget.answer(request, 200, "twice")));
-            fixture.publishCatalog(2, LONG_MILLIS);
+            fixture.publishCatalog(2, LONG_TIMEOUT_MILLIS);
             int runs = 0;
             for (int i = 0; i < 4; i++) {
                 int before = target.requests().size();
@@ -65,7 +65,7 @@
      * one under a success.
      */
     @Test
-    void halfAnswerOfALookUpIsFetchedElsewhere() throws IOException {
+    void truncatedResponseOfIdempotentRequestIsRetried() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             AtomicInteger sent = new AtomicInteger();
             FakeTarget.Script script = (request, socket) -> {
@@ -79,7 +79,7 @@
             };
             fixture.target("t", script);
             fixture.target("u", script);
-            fixture.publishCatalog(2, LONG_MILLIS);
+            fixture.publishCatalog(2, LONG_TIMEOUT_MILLIS);
             assertThat(fixture.exchange(FrontFixture.request("GET", "/safe/x", "a", true)), endsWith("hello"));
             assertThat(sent.get(), is(2));
         }
@@ -90,13 +90,13 @@
      * answer to the next request, of another caller.
      */
     @Test
-    void secondAnswerNeverReachesTheNextCaller() throws IOException {
+    void surplusResponseNeverReachesNextCaller() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.target("t", (request, socket) -> {
                 FakeTarget.write(socket, FakeTarget.answer(request, 200, "own-" + FakeTarget.attemptId(request)));
                 FakeTarget.write(socket, FakeTarget.answer(request, 200, "extra-" + FakeTarget.attemptId(request)));
             });
-            fixture.publishCatalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
             for (int i = 0; i < 20; i++) {
                 String answer = fixture.exchange(FrontFixture.request("GET", "/safe/x", "a" + i, true));
                 assertThat(answer, endsWith("own-a" + i));
@@ -109,13 +109,13 @@
      * caller until its deadline, and read the next answer's head as a body.
      */
     @Test
-    void answerToHeadHasNoBody() throws IOException {
+    void headResponseHasNoBody() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.target(
                     "t",
                     (request, socket) -> FakeTarget.write(
                             socket, FakeTarget.answer(request, 200, "12345").replace("12345", "")));
-            fixture.publishCatalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
             for (int i = 0; i < 2; i++) {
                 String answer = fixture.exchange(FrontFixture.request("HEAD", "/safe/x", "a" + i, true));
                 assertThat(answer, startsWith("HTTP/1.1 200"));
@@ -126,11 +126,11 @@
 
     /** An answer is longer than what is collected here. Cut off at that length it would look whole to the caller. */
     @Test
-    void answerThatIsTooLongIsNotCutShort() throws IOException {
+    void oversizedResponseIsNotTruncated() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             String body = "x".repeat(Front.MAX_ANSWER_BYTES + 1);
             fixture.target("t", (request, socket) -> FakeTarget.write(socket, FakeTarget.answer(request, 200, body)));
-            fixture.publishCatalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
             assertThat(answer.substring(0, 12), is("HTTP/1.1 502"));
         }
@@ -141,7 +141,7 @@
      * fastest by its first bytes, and would draw all requests as long as it fails.
      */
     @Test
-    void targetThatKeepsRefusingIsEjected() throws IOException {
+    void targetRejectingEveryRequestIsEjected() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.target(
                     "t",
@@ -153,7 +153,7 @@
             };
             fixture.target("u", sound);
             fixture.target("v", sound);
-            fixture.publishCatalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
             for (int i = 0; i < 60; i++) {
                 fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a" + i, true));
             }
@@ -166,7 +166,7 @@
      * to its end; if its silence counted again and again, the sound target would be out of use until then.
      */
     @Test
-    void oneHungRequestDoesNotKeepATargetOut() throws IOException {
+    void hungRequestDoesNotKeepTargetEjected() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             FakeTarget target = fixture.target("t", (request, socket) -> {
                 if (!"hung".equals(FakeTarget.attemptId(request))) {
@@ -197,13 +197,13 @@
 
     /** An answer without the target's signature did not come from the target's service. */
     @Test
-    void successWithoutSignatureIsNotPassedOn() throws IOException {
+    void unsignedSuccessIsNotForwarded() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.target(
                     "t",
                     (request, socket) -> FakeTarget.write(
                             socket, FakeTarget.answer(request, 200, "forged").replace("Signed: yes\r\n", "")));
-            fixture.publishCatalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
             assertThat(answer, startsWith("HTTP/1.1 502"));
             assertThat(answer, not(containsString("forged")));
@@ -215,13 +215,13 @@
      * told so, and when to come back.
      */
     @Test
-    void refusalOfATargetTellsTheCallerWhenToComeBack() throws IOException {
+    void targetRejectionCarriesRetryAfter() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.target(
                     "t",
                     (request, socket) -> FakeTarget.write(
                             socket, FakeTarget.answer(request, 503, "").replace("Signed", "Not-Run: 1\r\nSigned")));
-            fixture.publishCatalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
             assertThat(answer, startsWith("HTTP/1.1 503"));
             assertThat(answer.toLowerCase(Locale.ROOT), containsString("retry-after:"));
@@ -233,7 +233,7 @@
      * no event is missing, doubled or joined from two runs.
      */
     @Test
-    void resumableStreamGoesOnAtAnotherTarget() throws IOException {
+    void resumableStreamResumesAtAnotherTarget() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             FakeTarget.Script script = (request, socket) -> {
                 String head = "HTTP/1.1 200 X\r\nAttempt: " + FakeTarget.attemptId(request)
@@ -251,7 +251,7 @@
             };
             fixture.target("t", script);
             fixture.target("u", script);
-            fixture.publishCatalog(2, LONG_MILLIS);
+            fixture.publishCatalog(2, LONG_TIMEOUT_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/resumable/x", "a", true));
             String events = answer.replaceAll("(?m)^[0-9a-f]+\r\n|\r\n", "");
             assertThat(events, endsWith("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"));
@@ -260,7 +260,7 @@
 
     /** A stream that may not run twice breaks. Its answer must not look whole. */
     @Test
-    void brokenStreamDoesNotLookWhole() throws IOException {
+    void brokenStreamDoesNotLookComplete() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             FakeTarget target = fixture.target("t", (request, socket) -> {
                 FakeTarget.write(
@@ -269,7 +269,7 @@
                                 + FakeTarget.chunk("id: 1\ndata: a\n\n"));
                 socket.close();
             });
-            fixture.publishCatalog(2, LONG_MILLIS);
+            fixture.publishCatalog(2, LONG_TIMEOUT_MILLIS);
             String answer = fixture.exchange(FrontFixture.request("POST", "/stream/x", "a", true));
             assertThat(answer, not(containsString("\r\n0\r\n\r\n")));
             assertThat(target.requests(), hasSize(1));
@@ -278,17 +278,17 @@
 
     /** The caller leaves while the target works. The work is in vain, and the slot is needed. */
     @Test
-    void leavingCallerStopsTheTarget() throws IOException, InterruptedException {
+    void callerDisconnectCancelsTargetRequest() throws IOException, InterruptedException {
         try (FrontFixture fixture = new FrontFixture()) {
             FakeTarget target = fixture.target("t", (request, socket) -> {});
-            fixture.publishCatalog(1, LONG_MILLIS);
+            fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
             try (Socket socket = fixture.connect()) {
                 FakeTarget.write(socket, FrontFixture.request("POST", "/stream/x", "a", false));
                 while (target.requests().isEmpty()) {
                     Thread.onSpinWait();
                 }
             }
-            assertThat(target.closedConnections().poll(LONG_MILLIS / 2, TimeUnit.MILLISECONDS), notNullValue());
+            assertThat(target.closedConnections().poll(LONG_TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS), notNullValue());
         }
     }
 
@@ -296,7 +296,7 @@
      * The target never answers. At the route's timeout the caller gets its final answer, on a connection that stays.
      */
     @Test
-    void timeoutOfTheRouteEndsTheWait() throws IOException {
+    void routeTimeoutEndsRequest() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.target("t", (request, socket) -> {});
             fixture.publishCatalog(1, 300);
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/LateCloseTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/LateCloseTest.java
@@ -18,7 +18,7 @@
     /** Long enough that no request is refused while the test looks at it. */
     private static final long OBJECTIVE_MILLIS = 10_000;
 
-    private final CountDownLatch answerNow = new CountDownLatch(1);
+    private final CountDownLatch slowResponseLatch = new CountDownLatch(1);
     private FrontFixture front;
     private FakeTarget target;
 
@@ -27,7 +27,7 @@
         front = new FrontFixture();
         target = new FakeTarget("127.0.0.1", (request, socket) -> {
             if (FakeTarget.attemptId(request).equals("slow")) {
-                FrontFixture.awaitLatch(answerNow);
+                FrontFixture.awaitLatch(slowResponseLatch);
             }
             FakeTarget.write(socket, FakeTarget.answer(request, 200, "whole"));
         });
@@ -41,13 +41,13 @@
 
     /** Guards against sending a request on whose caller closed its connection before the request was read. */
     @Test
-    void requestAndCloseThatAreReadTogetherReachNoTarget() throws Exception {
+    void requestReadTogetherWithCloseReachesNoTarget() throws Exception {
         front.publishCatalog(2, TIMEOUT_MILLIS);
         front.publish("target", "127.0.0.1", target.port(), 8);
         try (Socket caller = front.connect()) {
             FakeTarget.write(caller, FrontFixture.request("POST", "/safe/x", "first", false));
             FrontFixture.readUntil(caller, "whole");
-            CountDownLatch goOn = holdUpThread();
+            CountDownLatch goOn = blockFrontThread();
             FakeTarget.write(caller, FrontFixture.request("POST", "/safe/x", "left", false));
             caller.close();
             goOn.countDown();
@@ -58,7 +58,7 @@
 
     /** Guards against giving a freed slot to a request whose caller's close waits to be read behind it. */
     @Test
-    void slotThatIsFreedBesideACloseGoesToTheNext() throws Exception {
+    void slotFreedBeforePendingCloseGoesToNextRequest() throws Exception {
         front.publishCatalog(2, TIMEOUT_MILLIS, true, OBJECTIVE_MILLIS);
         front.publish("engine", "127.0.0.1", target.port(), 1);
         try (Socket first = front.connect();
@@ -66,9 +66,9 @@
             FakeTarget.write(first, FrontFixture.request("POST", "/safe/x", "slow", true));
             FrontFixture.await(() -> target.requests().size() == 1);
             FakeTarget.write(caller, FrontFixture.request("POST", "/safe/x", "left", false));
-            FrontFixture.await(() -> waiting() == 1);
-            CountDownLatch goOn = holdUpThread();
-            answerNow.countDown();
+            FrontFixture.await(() -> queuedRequests() == 1);
+            CountDownLatch goOn = blockFrontThread();
+            slowResponseLatch.countDown();
             // The answer must be there before the close, so that it is read first.
             Thread.sleep(100);
             caller.close();
@@ -80,7 +80,7 @@
     }
 
     /** Holds the front's only thread until the returned latch is opened. */
-    private CountDownLatch holdUpThread() throws InterruptedException {
+    private CountDownLatch blockFrontThread() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
         front.front().loop().execute(() -> {
@@ -95,7 +95,7 @@
         return goOn;
     }
 
-    private int waiting() {
+    private int queuedRequests() {
         int[] count = new int[1];
         front.run(() -> count[0] = front.front().coordination().queuedRequests());
         return count[0];
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/MalformedRequestTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/MalformedRequestTest.java
@@ -32,7 +32,7 @@
                 "413|POST /unsafe/x HTTP/1.1~Host: h~Attempt: a~Content-Length: 99999999~~",
                 "404|GET /other/x HTTP/1.1~Host: h~Attempt: a~Connection: close~~"
             })
-    void isAnsweredAndGoesNowhere(int status, String request) throws IOException {
+    void isRejectedAndNotForwarded(int status, String request) throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             FakeTarget target =
                     fixture.target("t", (head, socket) -> FakeTarget.write(socket, FakeTarget.answer(head, 200, "")));
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void hugeHeadIsRefused() throws IOException {
+    void oversizedHeadIsRejected() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.publishCatalog(1, TIMEOUT_MILLIS);
             String answer =
@@ -57,7 +57,7 @@
      * A caller sends its second request before the first is answered; both are answered in order, each with its own.
      */
     @Test
-    void requestsSentAheadAreAnsweredInOrder() throws IOException {
+    void pipelinedRequestsAreAnsweredInOrder() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             FakeTarget target = fixture.target(
                     "t",
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/StreamEndTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/StreamEndTest.java
@@ -27,7 +27,7 @@
 
     // Guards against a target's half event that passes for the end of a whole answer, in the answer and in the metrics.
     @Test
-    void answerThatEndsInsideAnEventIsBrokenOffAndCounted() throws IOException {
+    void responseEndingInsideEventIsAbortedAndCounted() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.target(
                     "t",
@@ -48,10 +48,10 @@
 
     // Guards against answers that lose a part, or get one of another answer, when many are under way.
     @Test
-    void manyStreamsAtOnceComeWholeAndTheirOwn() throws Exception {
+    void concurrentStreamsArriveCompleteAndSeparate() throws Exception {
         try (FrontFixture fixture = new FrontFixture()) {
             for (int target = 0; target < TARGETS; target++) {
-                fixture.target("t" + target, StreamEndTest::answerInEvents);
+                fixture.target("t" + target, StreamEndTest::writeEventStream);
             }
             fixture.publishCatalog(1, DEADLINE_MILLIS);
             ExecutorService callers = Executors.newFixedThreadPool(CALLERS);
@@ -69,7 +69,7 @@
 
     // Guards against buffers that are given out twice: the allocator in use is safe only where one thread has them all.
     @Test
-    void oneThreadMakesAndReleasesAllBuffers() throws IOException {
+    void oneThreadAllocatesAndReleasesAllBuffers() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             MultithreadEventExecutorGroup loop =
                     (MultithreadEventExecutorGroup) fixture.front().loop();
@@ -92,7 +92,7 @@
         return null;
     }
 
-    private static void answerInEvents(String request, Socket socket) throws IOException {
+    private static void writeEventStream(String request, Socket socket) throws IOException {
         String attempt = FakeTarget.attemptId(request);
         FakeTarget.write(
                 socket,
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/AdmissionControl.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/AdmissionControl.java
@@ -12,7 +12,7 @@
 /** Decides on arrival whether a request is let in, by routes, keys and quotas. */
 final class AdmissionControl {
     /** Outcome of a decision. */
-    sealed interface Result permits Admitted, Refused {}
+    sealed interface Decision permits Admitted, Rejected {}
 
     /**
      * A request that is let in.
@@ -22,9 +22,9 @@
      * @param service service that takes it
      * @param tierRank its rank; 0 is served first
      * @param quotaTokens what it uses of the organisation's quota
-     * @param quotaTaken true when that was taken; otherwise the coordinator takes it
+     * @param quotaConsumed true when that was taken; otherwise the coordinator takes it
      * @param deadlineAtMillis steady time by which it has its final answer
-     * @param patienceUntilMillis steady time until which it may wait for a target
+     * @param queueTimeoutAtMillis steady time until which it may wait for a target
      */
     record Admitted(
             Route route,
@@ -32,18 +32,18 @@
             String service,
             int tierRank,
             long quotaTokens,
-            boolean quotaTaken,
+            boolean quotaConsumed,
             long deadlineAtMillis,
-            long patienceUntilMillis)
-            implements Result {}
+            long queueTimeoutAtMillis)
+            implements Decision {}
 
     /**
      * A request that is turned away.
      *
-     * @param refusal what its caller is told
+     * @param error what its caller is told
      * @param organisation who sent it, if known
      */
-    record Refused(ErrorResponse refusal, Optional<Organisation> organisation) implements Result {}
+    record Rejected(ErrorResponse error, Optional<Organisation> organisation) implements Decision {}
 
     private final Front front;
 
@@ -51,35 +51,35 @@
         this.front = front;
     }
 
-    Result decide(RequestHead head, long nowMillis) {
+    Decision decide(RequestHead head, long nowMillis) {
         Optional<Catalog> catalog = front.catalog();
         if (catalog.isEmpty()) {
-            return refused(ErrorKind.NOT_READY, Front.NOT_READY_RETRY_AFTER_MILLIS, Optional.empty());
+            return rejected(ErrorKind.NOT_READY, Front.NOT_READY_RETRY_AFTER_MILLIS, Optional.empty());
         }
         Optional<Route> found = catalog.get().route(head.authority(), head.path());
         if (found.isEmpty()) {
-            return refused(ErrorKind.UNKNOWN_SERVICE, 0, Optional.empty());
+            return rejected(ErrorKind.UNKNOWN_SERVICE, 0, Optional.empty());
         }
         Route route = found.get();
         Optional<Organisation> organisation = head.apiKey().flatMap(catalog.get()::organisationOfKey);
         if (catalog.get().asksForKeys() && !route.publicAccess() && organisation.isEmpty()) {
-            return refused(ErrorKind.UNKNOWN_CREDENTIAL, 0, organisation);
+            return rejected(ErrorKind.UNKNOWN_CREDENTIAL, 0, organisation);
         }
-        long tokens = tokens(head, organisation);
+        long tokens = quotaTokens(head, organisation);
         String service = route.serviceOf(head.attemptId());
         boolean elsewhere = organisation.isPresent() && front.coordination().hasRemoteCoordinator(service);
         Optional<ErrorResponse> refusal =
-                elsewhere ? Optional.empty() : takeQuota(organisation, service, tokens, nowMillis);
+                elsewhere ? Optional.empty() : consumeQuota(organisation, service, tokens, nowMillis);
         if (refusal.isPresent()) {
-            return new Refused(refusal.get(), organisation);
+            return new Rejected(refusal.get(), organisation);
         }
         return admitted(head, route, organisation, service, tokens, !elsewhere, nowMillis);
     }
 
     /** Takes a request's use from its organisation's quota, or returns why that cannot be. */
-    Optional<ErrorResponse> takeQuota(
+    Optional<ErrorResponse> consumeQuota(
             Optional<Organisation> organisation, String service, long tokens, long nowMillis) {
-        if (organisation.isEmpty() || admit(organisation.get().name(), service, tokens, nowMillis)) {
+        if (organisation.isEmpty() || tryConsumeQuota(organisation.get().name(), service, tokens, nowMillis)) {
             return Optional.empty();
         }
         long comeBackMillis = front.quotas().comeBackMillis(organisation.get().name());
@@ -87,7 +87,7 @@
                 new ErrorResponse(ErrorKind.OVER_QUOTA, Math.max(comeBackMillis, Front.NOT_READY_RETRY_AFTER_MILLIS)));
     }
 
-    private boolean admit(String organisation, String service, long tokens, long nowMillis) {
+    private boolean tryConsumeQuota(String organisation, String service, long tokens, long nowMillis) {
         return front.coordination().isLocalCoordinator(service)
                 ? front.quotas().tryAdmit(organisation, tokens, nowMillis)
                 : front.quotas().tryAdmitAlone(organisation, tokens, nowMillis);
@@ -116,14 +116,14 @@
                 nowMillis + QueueTimeouts.queueTimeoutMillis(route.objectiveMillis(), allowedMillis));
     }
 
-    private static long tokens(RequestHead head, Optional<Organisation> organisation) {
+    private static long quotaTokens(RequestHead head, Optional<Organisation> organisation) {
         if (head.hasTokenCounts()) {
             return head.promptTokens() + head.answerTokens();
         }
         return organisation.map(Organisation::plainRequestTokens).orElse(0L);
     }
 
-    private static Refused refused(ErrorKind kind, long comeBackMillis, Optional<Organisation> organisation) {
-        return new Refused(new ErrorResponse(kind, comeBackMillis), organisation);
+    private static Rejected rejected(ErrorKind kind, long comeBackMillis, Optional<Organisation> organisation) {
+        return new Rejected(new ErrorResponse(kind, comeBackMillis), organisation);
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerAcceptor.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerAcceptor.java
@@ -20,7 +20,7 @@
 /** Accepts the connections of callers. */
 final class CallerAcceptor {
     /** Answer bytes queued for a slow caller before its target is read no further. */
-    private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 * 1_024, 128 * 1_024);
+    private static final WriteBufferWaterMark WRITE_BUFFER_LIMITS = new WriteBufferWaterMark(32 * 1_024, 128 * 1_024);
 
     private final Front front;
     private final EventLoopGroup loop;
@@ -39,13 +39,13 @@
                 .group(loop)
                 .channelFactory(() -> new NioServerSocketChannel(port.channel()))
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_LIMITS)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         CallerConnection connection = new CallerConnection(front);
                         channel.pipeline()
-                                .addLast(new ArrivalNote(connection))
+                                .addLast(new ReceiveMonitor(connection))
                                 .addLast(new StrictDecoder(front.limits().maxHeaderBytes()))
                                 .addLast(new HttpResponseEncoder())
                                 .addLast(connection);
@@ -72,17 +72,17 @@
     }
 
     /** Tells a connection that bytes came, so that an incomplete head is noticed. */
-    private static final class ArrivalNote extends ChannelInboundHandlerAdapter {
+    private static final class ReceiveMonitor extends ChannelInboundHandlerAdapter {
         private final CallerConnection connection;
 
-        ArrivalNote(CallerConnection connection) {
+        ReceiveMonitor(CallerConnection connection) {
             this.connection = connection;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             if (message instanceof ByteBuf bytes && bytes.isReadable()) {
-                connection.bytesArrived();
+                connection.bytesReceived();
             }
             context.fireChannelRead(message);
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerConnection.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerConnection.java
@@ -42,25 +42,25 @@
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
     /** Messages of later requests kept while one is under way; more than any proper caller sends ahead. */
-    private static final int MOST_QUEUED = 64;
+    private static final int MAX_QUEUED_MESSAGES = 64;
 
     private static final String CALLER_CLOSED = "caller-closed";
 
     private final Front front;
-    private final Deque<HttpObject> queued = new ArrayDeque<>();
+    private final Deque<HttpObject> queuedMessages = new ArrayDeque<>();
     private Channel channel;
     private HttpRequest request;
     private CompositeByteBuf body;
     private CallerExchange exchange;
     private boolean closing;
-    private boolean closeAfterAnswer;
-    private long quietSinceMillis;
-    private boolean midHead;
+    private boolean closeAfterResponse;
+    private long lastActivityMillis;
+    private boolean receivingHead;
     private String closeCause = CALLER_CLOSED;
 
     CallerConnection(Front front) {
         this.front = front;
-        quietSinceMillis = front.nowMillis();
+        lastActivityMillis = front.nowMillis();
     }
 
     @Override
@@ -75,33 +75,33 @@
         if (closing) {
             ReferenceCountUtil.release(part);
         } else if (exchange != null) {
-            queued.add(part);
-            if (queued.size() > MOST_QUEUED) {
+            queuedMessages.add(part);
+            if (queuedMessages.size() > MAX_QUEUED_MESSAGES) {
                 channel.config().setAutoRead(false);
             }
         } else {
-            take(part);
+            process(part);
         }
     }
 
     /** Notes bytes of a head that is not complete yet. */
-    void bytesArrived() {
-        if (request == null && exchange == null && !midHead) {
-            midHead = true;
-            quietSinceMillis = front.nowMillis();
+    void bytesReceived() {
+        if (request == null && exchange == null && !receivingHead) {
+            receivingHead = true;
+            lastActivityMillis = front.nowMillis();
         } else if (request != null) {
-            quietSinceMillis = front.nowMillis();
+            lastActivityMillis = front.nowMillis();
         }
     }
 
-    private void take(HttpObject part) {
+    private void process(HttpObject part) {
         if (part.decoderResult().isFailure()) {
             ReferenceCountUtil.release(part);
             rejectMalformed(part.decoderResult().cause());
             return;
         }
         if (part instanceof HttpRequest head) {
-            beginRequest(head);
+            startRequest(head);
         }
         if (part instanceof HttpContent content) {
             if (closing || request == null) {
@@ -112,9 +112,9 @@
         }
     }
 
-    private void beginRequest(HttpRequest head) {
-        midHead = false;
-        String fault = headFault(head);
+    private void startRequest(HttpRequest head) {
+        receivingHead = false;
+        String fault = validateHead(head);
         if (fault != null) {
             reject(ErrorKind.MALFORMED, fault);
             return;
@@ -125,14 +125,14 @@
         }
         request = head;
         body = Unpooled.compositeBuffer(1024);
-        quietSinceMillis = front.nowMillis();
+        lastActivityMillis = front.nowMillis();
         if (HttpUtil.is100ContinueExpected(head)) {
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
-    private static String headFault(HttpRequest head) {
+    private static String validateHead(HttpRequest head) {
         HttpHeaders headers = head.headers();
         List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (codings.size() > 1
@@ -164,15 +164,15 @@
             CompositeByteBuf whole = body;
             request = null;
             body = null;
-            closeAfterAnswer = !HttpUtil.isKeepAlive(head);
+            closeAfterResponse = !HttpUtil.isKeepAlive(head);
             CallerExchange next = new CallerExchange(front, this, head, whole);
             exchange = next;
             // Not from within the read: what follows looks whether the caller has closed the connection since.
-            channel.eventLoop().execute(() -> begin(next));
+            channel.eventLoop().execute(() -> start(next));
         }
     }
 
-    private void begin(CallerExchange next) {
+    private void start(CallerExchange next) {
         if (exchange == next) {
             next.start();
         }
@@ -191,16 +191,16 @@
         }
         request = null;
         closing = true;
-        write(response(new ErrorResponse(kind, 0)), true);
+        write(toHttpResponse(new ErrorResponse(kind, 0)), true);
     }
 
     /** Answers the request under way with a failure of this process. */
-    void answer(ErrorResponse refusal) {
-        write(response(refusal), false);
+    void respond(ErrorResponse refusal) {
+        write(toHttpResponse(refusal), false);
     }
 
     /** Answers the request under way with a whole answer of a target. */
-    void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
+    void respond(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
         FullHttpResponse full = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
         full.headers().set(headers);
         boolean headOnly = exchange != null && exchange.method().equals(HttpMethod.HEAD);
@@ -211,11 +211,11 @@
     }
 
     /** Begins an answer that goes on piece by piece. */
-    void beginStream(HttpResponseStatus status, HttpHeaders headers) {
+    void startStream(HttpResponseStatus status, HttpHeaders headers) {
         DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, status);
         head.headers().set(headers).remove(HttpHeaderNames.CONTENT_LENGTH);
         HttpUtil.setTransferEncodingChunked(head, true);
-        if (front.leaving() || closeAfterAnswer) {
+        if (front.leaving() || closeAfterResponse) {
             head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             closing = true;
         }
@@ -223,17 +223,17 @@
     }
 
     /** Passes on a piece of the answer. */
-    void stream(ByteBuf piece) {
+    void writeChunk(ByteBuf piece) {
         channel.writeAndFlush(new DefaultHttpContent(piece));
     }
 
     /** Ends an answer that went on piece by piece. */
     void endStream() {
-        channel.writeAndFlush(new DefaultLastHttpContent()).addListener(done -> finished());
+        channel.writeAndFlush(new DefaultLastHttpContent()).addListener(done -> responseWritten());
     }
 
     /** Ends the connection in the middle of an answer, so that it cannot look whole. */
-    void breakOff() {
+    void abort() {
         closing = true;
         exchange = null;
         channel.close();
@@ -245,7 +245,7 @@
      * <p>On a thread that is late, a close waits in the socket while what came before it is worked on; a request sent
      * on meanwhile would run for nobody. Must not be called from within a read of this connection.
      */
-    boolean callerStays() {
+    boolean isCallerConnected() {
         if (channel.isActive()
                 && channel.config().isAutoRead()
                 && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
@@ -266,7 +266,7 @@
         }
     }
 
-    private FullHttpResponse response(ErrorResponse refusal) {
+    private FullHttpResponse toHttpResponse(ErrorResponse refusal) {
         FullHttpResponse full = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(refusal.kind().httpStatus()),
@@ -283,23 +283,23 @@
     }
 
     private void write(FullHttpResponse full, boolean close) {
-        closing = closing || close || closeAfterAnswer || front.leaving();
+        closing = closing || close || closeAfterResponse || front.leaving();
         if (closing) {
             full.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        channel.writeAndFlush(full).addListener(done -> finished());
+        channel.writeAndFlush(full).addListener(done -> responseWritten());
     }
 
-    private void finished() {
+    private void responseWritten() {
         exchange = null;
-        quietSinceMillis = front.nowMillis();
+        lastActivityMillis = front.nowMillis();
         if (closing) {
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
             return;
         }
         channel.config().setAutoRead(true);
-        while (exchange == null && !closing && !queued.isEmpty()) {
-            take(queued.poll());
+        while (exchange == null && !closing && !queuedMessages.isEmpty()) {
+            process(queuedMessages.poll());
         }
     }
 
@@ -308,8 +308,8 @@
         if (exchange != null || closing) {
             return;
         }
-        long quietMillis = nowMillis - quietSinceMillis;
-        boolean incomplete = midHead || request != null;
+        long quietMillis = nowMillis - lastActivityMillis;
+        boolean incomplete = receivingHead || request != null;
         if (incomplete && quietMillis > front.limits().headerTimeoutMillis()) {
             reject(ErrorKind.CALLER_TOO_SLOW, "incomplete request");
         } else if (!incomplete && quietMillis > front.limits().idleTimeoutMillis()) {
@@ -320,7 +320,7 @@
 
     /** Closes the connection if no request is under way on it. */
     void closeIfIdle() {
-        if (exchange == null && request == null && !midHead && !closing) {
+        if (exchange == null && request == null && !receivingHead && !closing) {
             closing = true;
             channel.close();
         }
@@ -330,8 +330,8 @@
     public void channelInactive(ChannelHandlerContext context) {
         closing = true;
         front.connectionClosed(this);
-        queued.forEach(ReferenceCountUtil::release);
-        queued.clear();
+        queuedMessages.forEach(ReferenceCountUtil::release);
+        queuedMessages.clear();
         if (body != null) {
             body.release();
             body = null;
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
@@ -30,15 +30,15 @@
  */
 final class CallerExchange implements QueuedRequest, PlacementListener, TargetListener {
     /** Time beyond its patience that a request leaves a coordinator to refuse it; then it is refused here. */
-    private static final long COORDINATOR_MARGIN_MILLIS = 150;
+    private static final long COORDINATOR_GRACE_MILLIS = 150;
     /** Time left below which sending is pointless: a target needs about this for its shortest answer. */
-    private static final long SHORTEST_USEFUL_MILLIS = 15;
+    private static final long MIN_REMAINING_MILLIS = 15;
 
     private enum Stage {
         /** In the line of this process. */
-        WAITING,
+        QUEUED,
         /** A coordinator was asked for a target. */
-        ASKING,
+        AWAITING_PLACEMENT,
         CONNECTING,
         SENT,
         ENDED
@@ -49,9 +49,9 @@
     private final HttpRequest request;
     private final ByteBuf body;
     private final long arrivedAtMillis;
-    private final CatalogFreshness knowledge;
+    private final CatalogFreshness catalogFreshness;
 
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedTargetIds = new HashSet<>();
     private RequestHead head;
     private Route route;
     private Optional<Organisation> organisation = Optional.empty();
@@ -59,16 +59,16 @@
     private int tierRank;
     private long quotaTokens;
     private long deadlineAtMillis;
-    private long patienceUntilMillis;
-    private Stage stage = Stage.WAITING;
-    private int sends;
-    private int possibleRuns;
-    private boolean quotaTaken;
+    private long queueTimeoutAtMillis;
+    private Stage stage = Stage.QUEUED;
+    private int dispatchCount;
+    private int possibleExecutions;
+    private boolean quotaConsumed;
     private PlacementTicket ticket;
-    private TargetRun visit;
-    private TargetConnection link;
-    private SilenceWatch silence;
-    private ResponseAssembler answer;
+    private TargetRun targetRun;
+    private TargetConnection connection;
+    private SilenceWatch silenceWatch;
+    private ResponseAssembler responseAssembler;
 
     CallerExchange(Front front, CallerConnection caller, HttpRequest request, ByteBuf body) {
         this.front = front;
@@ -76,7 +76,7 @@
         this.request = request;
         this.body = body;
         arrivedAtMillis = front.nowMillis();
-        knowledge = front.knowledge();
+        catalogFreshness = front.knowledge();
     }
 
     HttpMethod method() {
@@ -94,13 +94,13 @@
             head = front.dialect().readRequest(request);
         } catch (BadRequestException e) {
             FrontLog.malformed(ErrorKind.MALFORMED, e.getMessage());
-            refuse(new ErrorResponse(ErrorKind.MALFORMED, 0));
+            respondWithError(new ErrorResponse(ErrorKind.MALFORMED, 0));
             return;
         }
-        AdmissionControl.Result result = front.admission().decide(head, arrivedAtMillis);
-        if (result instanceof AdmissionControl.Refused refused) {
+        AdmissionControl.Decision result = front.admission().decide(head, arrivedAtMillis);
+        if (result instanceof AdmissionControl.Rejected refused) {
             organisation = refused.organisation();
-            refuse(refused.refusal());
+            respondWithError(refused.error());
         } else if (result instanceof AdmissionControl.Admitted admitted) {
             start(admitted);
         }
@@ -108,29 +108,29 @@
 
     private void start(AdmissionControl.Admitted admitted) {
         route = admitted.route();
-        answer = new ResponseAssembler(route, caller, front.dialect());
+        responseAssembler = new ResponseAssembler(route, caller, front.dialect());
         organisation = admitted.organisation();
         service = admitted.service();
         tierRank = admitted.tierRank();
         quotaTokens = admitted.quotaTokens();
-        quotaTaken = admitted.quotaTaken();
+        quotaConsumed = admitted.quotaConsumed();
         deadlineAtMillis = admitted.deadlineAtMillis();
-        patienceUntilMillis = admitted.patienceUntilMillis();
+        queueTimeoutAtMillis = admitted.queueTimeoutAtMillis();
         front.retryBudget(service).request(arrivedAtMillis);
         place(arrivedAtMillis);
     }
 
     private void place(long nowMillis) {
         if (front.coordination().isCoordinated(service)) {
-            stage = Stage.ASKING;
+            stage = Stage.AWAITING_PLACEMENT;
             front.coordination().requestPlacement(service, this);
         } else {
-            placeHere(nowMillis);
+            placeLocally(nowMillis);
         }
     }
 
-    private void placeHere(long nowMillis) {
-        stage = Stage.WAITING;
+    private void placeLocally(long nowMillis) {
+        stage = Stage.QUEUED;
         if (!front.localQueues().queueOf(service).hasQueuedAhead(tierRank)
                 && !tryDispatch(nowMillis).stillQueued()) {
             return;
@@ -148,7 +148,7 @@
                 .remainingMillis(deadlineAtMillis - nowMillis)
                 .promptParts(head.promptParts())
                 .tierRank(tierRank)
-                .triedTargets(tried)
+                .triedTargets(triedTargetIds)
                 .build();
     }
 
@@ -158,9 +158,9 @@
         return PlacementMessages.placementRequest(
                 id,
                 demand(nowMillis),
-                patienceUntilMillis - nowMillis,
+                queueTimeoutAtMillis - nowMillis,
                 onTimeUntilMillis() - nowMillis,
-                organisation.filter(known -> !quotaTaken).map(Organisation::name),
+                organisation.filter(known -> !quotaConsumed).map(Organisation::name),
                 quotaTokens);
     }
 
@@ -171,36 +171,36 @@
 
     @Override
     public void granted(Candidate chosen) {
-        if (!quotaTaken) {
+        if (!quotaConsumed) {
             organisation.ifPresent(
                     known -> front.quotas().admittedByCoordinator(known.name(), quotaTokens, front.nowMillis()));
-            quotaTaken = true;
+            quotaConsumed = true;
         }
         connect(chosen, ticket, front.nowMillis());
     }
 
     @Override
     public void shed(RejectionDetails grounds) {
-        refuseUnplaced(grounds.retryAfterMillis(), Optional.of(grounds));
+        rejectUnplaced(grounds.retryAfterMillis(), Optional.of(grounds));
     }
 
     @Override
     public void overQuota(RejectionDetails grounds) {
         long comeBackMillis = Math.max(grounds.retryAfterMillis(), Front.NOT_READY_RETRY_AFTER_MILLIS);
-        refuse(new ErrorResponse(ErrorKind.OVER_QUOTA, comeBackMillis, Optional.of(grounds)));
+        respondWithError(new ErrorResponse(ErrorKind.OVER_QUOTA, comeBackMillis, Optional.of(grounds)));
     }
 
     @Override
     public void coordinatorUnavailable() {
-        Optional<ErrorResponse> refusal = quotaTaken
+        Optional<ErrorResponse> refusal = quotaConsumed
                 ? Optional.empty()
-                : front.admission().takeQuota(organisation, service, quotaTokens, front.nowMillis());
+                : front.admission().consumeQuota(organisation, service, quotaTokens, front.nowMillis());
         if (refusal.isPresent()) {
-            refuse(refusal.get());
+            respondWithError(refusal.get());
             return;
         }
-        quotaTaken = true;
-        placeHere(front.nowMillis());
+        quotaConsumed = true;
+        placeLocally(front.nowMillis());
     }
 
     @Override
@@ -210,13 +210,15 @@
 
     @Override
     public long queueTimeoutAtMillis() {
-        return patienceUntilMillis;
+        return queueTimeoutAtMillis;
     }
 
     @Override
     public long backlogTimeoutAtMillis() {
         long onTimeMillis = QueueTimeouts.onTimeMillis(route.objectiveMillis());
-        return sends > 0 ? patienceUntilMillis : arrivedAtMillis + QueueTimeouts.backlogTimeoutMillis(onTimeMillis);
+        return dispatchCount > 0
+                ? queueTimeoutAtMillis
+                : arrivedAtMillis + QueueTimeouts.backlogTimeoutMillis(onTimeMillis);
     }
 
     @Override
@@ -243,223 +245,228 @@
 
     @Override
     public void reject(long nowMillis) {
-        refuseUnplaced(front.localQueues().retryAfterMillis(service), Optional.empty());
+        rejectUnplaced(front.localQueues().retryAfterMillis(service), Optional.empty());
     }
 
-    private void refuseUnplaced(long comeBackMillis, Optional<RejectionDetails> grounds) {
-        ErrorKind kind = tried.isEmpty() ? ErrorKind.SHED : ErrorKind.TARGET_REFUSED;
-        refuse(new ErrorResponse(perhapsRun() ? ErrorKind.TARGET_LOST : kind, comeBackMillis, grounds));
+    private void rejectUnplaced(long comeBackMillis, Optional<RejectionDetails> grounds) {
+        ErrorKind kind = triedTargetIds.isEmpty() ? ErrorKind.SHED : ErrorKind.TARGET_REFUSED;
+        respondWithError(new ErrorResponse(mayHaveExecuted() ? ErrorKind.TARGET_LOST : kind, comeBackMillis, grounds));
     }
 
     private void connect(Candidate chosen, PlacementTicket placement, long nowMillis) {
         stage = Stage.CONNECTING;
         ticket = placement;
         String targetId = chosen.state().target().id();
-        visit = new TargetRun(front.entry(targetId), chosen, placement);
+        targetRun = new TargetRun(front.entry(targetId), chosen, placement);
         front.prompts().reads(head.promptParts(), targetId, nowMillis);
-        visit.entry().pool().acquire(!route.idempotent(), this::connected);
+        targetRun.entry().pool().acquire(!route.idempotent(), this::connectionAcquired);
     }
 
-    private void connected(Optional<TargetConnection> acquired) {
+    private void connectionAcquired(Optional<TargetConnection> acquired) {
         long nowMillis = front.nowMillis();
-        TargetRun current = visit;
+        TargetRun current = targetRun;
         if (stage != Stage.CONNECTING) {
             acquired.ifPresent(unused -> current.entry().pool().release(unused));
             return;
         }
         if (acquired.isEmpty()) {
-            leaveTarget(RunEvent.RUN_UNREACHABLE);
+            endRun(RunEvent.RUN_UNREACHABLE);
             front.targetFailed(current.entry(), TargetFailure.UNREACHABLE);
             place(nowMillis);
             return;
         }
-        if (deadlineAtMillis - nowMillis < SHORTEST_USEFUL_MILLIS || !front.mayReceive(current.entry())) {
+        if (deadlineAtMillis - nowMillis < MIN_REMAINING_MILLIS || !front.mayReceive(current.entry())) {
             current.entry().pool().release(acquired.get());
-            leaveTarget(RunEvent.RUN_GIVEN_UP);
+            endRun(RunEvent.RUN_GIVEN_UP);
             place(nowMillis);
             return;
         }
-        if (!caller.callerStays()) {
+        if (!caller.isCallerConnected()) {
             // The connection's end, which is about to be told, ends this exchange too.
             current.entry().pool().release(acquired.get());
             return;
         }
-        link = acquired.get();
+        connection = acquired.get();
         send(nowMillis);
     }
 
     private void send(long nowMillis) {
-        Target target = visit.entry().state().target();
+        Target target = targetRun.entry().state().target();
         stage = Stage.SENT;
-        sends++;
-        possibleRuns++;
-        tried.add(target.id());
-        visit.sent(nowMillis);
-        silence = new SilenceWatch(route.objectiveMillis(), visit.candidate().firstEventMillis(), nowMillis);
-        Optional<String> resumeAfter = answer.streamBegun() ? answer.lastEventId() : head.lastEventId();
+        dispatchCount++;
+        possibleExecutions++;
+        triedTargetIds.add(target.id());
+        targetRun.sent(nowMillis);
+        silenceWatch =
+                new SilenceWatch(route.objectiveMillis(), targetRun.candidate().firstEventMillis(), nowMillis);
+        Optional<String> resumeAfter =
+                responseAssembler.streamStarted() ? responseAssembler.lastEventId() : head.lastEventId();
         DispatchParameters dispatch = new DispatchParameters(
                 target.id(), organisation.map(Organisation::name), deadlineAtMillis - nowMillis, resumeAfter);
         front.metrics().recordQueueTime(route.kind(), nowMillis - arrivedAtMillis);
-        FrontLog.sent(this, target, nowMillis - arrivedAtMillis, visit.candidate());
-        link.send(front.dialect().targetRequest(request, dispatch), body, head.attemptId(), this);
+        FrontLog.sent(this, target, nowMillis - arrivedAtMillis, targetRun.candidate());
+        connection.send(front.dialect().targetRequest(request, dispatch), body, head.attemptId(), this);
     }
 
     @Override
     public void head(HttpResponse response, ResponseHead read) {
-        noteBytes();
-        answer.head(response, read);
+        recordBytesReceived();
+        responseAssembler.head(response, read);
         if (read.status() / 100 == 2) {
-            visit.succeeded();
+            targetRun.succeeded();
         }
     }
 
     @Override
     public void content(ByteBuf piece) {
-        noteBytes();
-        if (answer.content(piece) && !caller.writable()) {
-            link.setReading(false);
+        recordBytesReceived();
+        if (responseAssembler.content(piece) && !caller.writable()) {
+            connection.setReading(false);
         }
     }
 
     void callerWritabilityChanged(boolean writable) {
-        if (link != null && stage == Stage.SENT) {
-            link.setReading(writable);
+        if (connection != null && stage == Stage.SENT) {
+            connection.setReading(writable);
         }
     }
 
-    private void noteBytes() {
+    private void recordBytesReceived() {
         long nowMillis = front.nowMillis();
-        silence.bytesReceived(nowMillis);
-        visit.entry().bytesReceived(nowMillis);
-        if (!visit.firstByteReceived()) {
-            visit.firstByte(nowMillis);
-            front.metrics().recordFirstByte(route.kind(), visit.firstByteMillis());
+        silenceWatch.bytesReceived(nowMillis);
+        targetRun.entry().bytesReceived(nowMillis);
+        if (!targetRun.firstByteReceived()) {
+            targetRun.firstByte(nowMillis);
+            front.metrics().recordFirstByte(route.kind(), targetRun.firstByteMillis());
         }
     }
 
     @Override
     public void complete() {
-        link = null;
+        connection = null;
         long nowMillis = front.nowMillis();
-        TargetEntry entry = visit.entry();
-        if (answer.refused()) {
-            possibleRuns--;
-            if (answer.fromOtherTarget()) {
-                leaveTarget(RunEvent.RUN_UNREACHABLE);
+        TargetEntry entry = targetRun.entry();
+        if (responseAssembler.notExecuted()) {
+            possibleExecutions--;
+            if (responseAssembler.fromWrongTarget()) {
+                endRun(RunEvent.RUN_UNREACHABLE);
                 front.targetFailed(entry, TargetFailure.UNREACHABLE);
             } else {
-                leaveTarget(RunEvent.RUN_REFUSED);
+                endRun(RunEvent.RUN_REFUSED);
                 front.targetAnsweredError(entry);
             }
-            sendElsewhereOrRefuse(nowMillis);
-        } else if (!answer.proper()) {
-            leaveTarget(RunEvent.RUN_BROKEN);
-            failedAfterSend(TargetFailure.GARBLED, nowMillis);
-        } else if (answer.status() >= 500) {
-            leaveTarget(RunEvent.RUN_ERRED);
+            retryElsewhereOrReject(nowMillis);
+        } else if (!responseAssembler.isDeliverable()) {
+            endRun(RunEvent.RUN_BROKEN);
+            retryOrFail(TargetFailure.GARBLED, nowMillis);
+        } else if (responseAssembler.status() >= 500) {
+            endRun(RunEvent.RUN_ERRED);
             front.targetAnsweredError(entry);
-            repeatOrDeliverError(nowMillis);
+            retryOrDeliverError(nowMillis);
         } else {
             front.targetAnswered(entry);
-            visit.end(RunEvent.RUN_ANSWERED, sends == 1 ? head.answerTokens() : 0, silence.lastByteAtMillis());
-            leaveTarget(RunEvent.RUN_ANSWERED);
+            targetRun.end(
+                    RunEvent.RUN_ANSWERED,
+                    dispatchCount == 1 ? head.answerTokens() : 0,
+                    silenceWatch.lastByteAtMillis());
+            endRun(RunEvent.RUN_ANSWERED);
             deliver();
         }
     }
 
-    private void repeatOrDeliverError(long nowMillis) {
-        if (!canRepeat(nowMillis)) {
+    private void retryOrDeliverError(long nowMillis) {
+        if (!canRetry(nowMillis)) {
             deliver();
             return;
         }
         front.metrics().retried();
-        FrontLog.retried(this, visit.entry().state().target(), "status " + answer.status());
-        answer.reset();
+        FrontLog.retried(this, targetRun.entry().state().target(), "status " + responseAssembler.status());
+        responseAssembler.discardIncomplete();
         place(nowMillis);
     }
 
     /** Tells whether any target may have run the request, or may yet. */
-    private boolean perhapsRun() {
-        return possibleRuns > 0;
+    private boolean mayHaveExecuted() {
+        return possibleExecutions > 0;
     }
 
     private void deliver() {
         front.metrics().answered();
-        boolean whole = answer.endsWhole();
-        FrontLog.ended(this, entry(), whole ? "answered" : "broken-off", answer.status(), ageMillis());
+        boolean whole = responseAssembler.endsAtEventBoundary();
+        FrontLog.ended(this, entry(), whole ? "answered" : "broken-off", responseAssembler.status(), ageMillis());
         stage = Stage.ENDED;
         if (whole) {
-            answer.deliver();
+            responseAssembler.deliver();
             end();
         } else {
             end();
-            breakOff(TruncationCause.PART_OF_EVENT);
+            abortResponse(TruncationCause.PART_OF_EVENT);
         }
     }
 
     /** Ends the caller's connection, since an answer that began can't be completed. */
-    private void breakOff(TruncationCause cause) {
+    private void abortResponse(TruncationCause cause) {
         front.metrics().streamTruncated(cause);
-        caller.breakOff();
+        caller.abort();
     }
 
     @Override
     public void failed(TargetFailure failure) {
-        link = null;
-        leaveTarget(failure.event());
-        front.targetFailed(visit.entry(), failure);
-        failedAfterSend(failure, front.nowMillis());
+        connection = null;
+        endRun(failure.event());
+        front.targetFailed(targetRun.entry(), failure);
+        retryOrFail(failure, front.nowMillis());
     }
 
-    private void failedAfterSend(TargetFailure failure, long nowMillis) {
-        answer.reset();
-        if (canRepeat(nowMillis)) {
+    private void retryOrFail(TargetFailure failure, long nowMillis) {
+        responseAssembler.discardIncomplete();
+        if (canRetry(nowMillis)) {
             front.metrics().retried();
-            FrontLog.retried(this, visit.entry().state().target(), failure.name());
-            patienceUntilMillis = Math.max(patienceUntilMillis, nowMillis + route.objectiveMillis());
+            FrontLog.retried(this, targetRun.entry().state().target(), failure.name());
+            queueTimeoutAtMillis = Math.max(queueTimeoutAtMillis, nowMillis + route.objectiveMillis());
             place(nowMillis);
             return;
         }
-        if (answer.streamBegun()) {
-            FrontLog.ended(this, entry(), "broken-off", answer.status(), ageMillis());
+        if (responseAssembler.streamStarted()) {
+            FrontLog.ended(this, entry(), "broken-off", responseAssembler.status(), ageMillis());
             end();
-            breakOff(TruncationCause.TARGET_LOST);
+            abortResponse(TruncationCause.TARGET_LOST);
             return;
         }
-        refuse(new ErrorResponse(ErrorKind.TARGET_LOST, 0));
+        respondWithError(new ErrorResponse(ErrorKind.TARGET_LOST, 0));
     }
 
-    private boolean canRepeat(long nowMillis) {
+    private boolean canRetry(long nowMillis) {
         return route.idempotent()
-                && answer.canGoOn()
-                && sends < route.attempts()
-                && deadlineAtMillis - nowMillis > SHORTEST_USEFUL_MILLIS
+                && responseAssembler.canResume()
+                && dispatchCount < route.attempts()
+                && deadlineAtMillis - nowMillis > MIN_REMAINING_MILLIS
                 && front.retryBudget(service).tryRepeat(nowMillis, front.retryAllowance());
     }
 
-    private void sendElsewhereOrRefuse(long nowMillis) {
-        answer.reset();
-        boolean budget =
-                sends < route.attempts() && front.retryBudget(service).tryRepeat(nowMillis, front.retryAllowance());
-        if (budget && nowMillis < patienceUntilMillis) {
+    private void retryElsewhereOrReject(long nowMillis) {
+        responseAssembler.discardIncomplete();
+        boolean budget = dispatchCount < route.attempts()
+                && front.retryBudget(service).tryRepeat(nowMillis, front.retryAllowance());
+        if (budget && nowMillis < queueTimeoutAtMillis) {
             place(nowMillis);
-        } else if (answer.streamBegun()) {
-            FrontLog.ended(this, entry(), "broken-off", answer.status(), ageMillis());
+        } else if (responseAssembler.streamStarted()) {
+            FrontLog.ended(this, entry(), "broken-off", responseAssembler.status(), ageMillis());
             end();
-            breakOff(TruncationCause.TARGET_LOST);
+            abortResponse(TruncationCause.TARGET_LOST);
         } else {
-            ErrorKind kind = perhapsRun() ? ErrorKind.TARGET_LOST : ErrorKind.TARGET_REFUSED;
-            refuse(new ErrorResponse(kind, front.localQueues().retryAfterMillis(service)));
+            ErrorKind kind = mayHaveExecuted() ? ErrorKind.TARGET_LOST : ErrorKind.TARGET_REFUSED;
+            respondWithError(new ErrorResponse(kind, front.localQueues().retryAfterMillis(service)));
         }
     }
 
     private TargetEntry entry() {
-        return visit == null ? null : visit.entry();
+        return targetRun == null ? null : targetRun.entry();
     }
 
-    private void leaveTarget(RunEvent event) {
-        if (visit != null) {
-            visit.end(event, 0, front.nowMillis());
+    private void endRun(RunEvent event) {
+        if (targetRun != null) {
+            targetRun.end(event, 0, front.nowMillis());
             front.localQueues().slotFreed(service);
         }
     }
@@ -470,42 +477,46 @@
             return;
         }
         if (nowMillis >= deadlineAtMillis) {
-            timedOut();
+            deadlineReached();
             return;
         }
-        if (stage == Stage.ASKING && nowMillis > patienceUntilMillis + COORDINATOR_MARGIN_MILLIS) {
-            refuseUnplaced(front.localQueues().retryAfterMillis(service), Optional.empty());
+        if (stage == Stage.AWAITING_PLACEMENT && nowMillis > queueTimeoutAtMillis + COORDINATOR_GRACE_MILLIS) {
+            rejectUnplaced(front.localQueues().retryAfterMillis(service), Optional.empty());
             return;
         }
         if (stage != Stage.SENT) {
             return;
         }
-        if (silence.targetBecameSilent(visit.entry(), answer.streamBegun(), nowMillis) && !visit.stalled()) {
-            front.targetFailed(visit.entry(), TargetFailure.SILENT);
+        if (silenceWatch.targetBecameSilent(targetRun.entry(), responseAssembler.streamStarted(), nowMillis)
+                && !targetRun.stalled()) {
+            front.targetFailed(targetRun.entry(), TargetFailure.SILENT);
         }
-        boolean stuck = silence.requestStalled(answer.streamBegun(), nowMillis);
-        if (stuck && route.idempotent() && sends < route.attempts() && front.hasUntriedTarget(service, tried)) {
-            link.cancel();
-            link = null;
-            leaveTarget(RunEvent.RUN_SILENT);
-            failedAfterSend(TargetFailure.SILENT, nowMillis);
+        boolean stuck = silenceWatch.requestStalled(responseAssembler.streamStarted(), nowMillis);
+        if (stuck
+                && route.idempotent()
+                && dispatchCount < route.attempts()
+                && front.hasUntriedTarget(service, triedTargetIds)) {
+            connection.cancel();
+            connection = null;
+            endRun(RunEvent.RUN_SILENT);
+            retryOrFail(TargetFailure.SILENT, nowMillis);
         }
     }
 
-    private void timedOut() {
-        if (stage == Stage.WAITING) {
+    private void deadlineReached() {
+        if (stage == Stage.QUEUED) {
             front.localQueues().queueOf(service).remove(this);
         }
-        if (answer.streamBegun()) {
-            FrontLog.ended(this, entry(), "timed-out", answer.status(), ageMillis());
-            abandonTarget();
+        if (responseAssembler.streamStarted()) {
+            FrontLog.ended(this, entry(), "timed-out", responseAssembler.status(), ageMillis());
+            cancelRun();
             end();
-            breakOff(TruncationCause.TIMED_OUT);
+            abortResponse(TruncationCause.TIMED_OUT);
             return;
         }
-        boolean sent = perhapsRun();
-        abandonTarget();
-        refuse(
+        boolean sent = mayHaveExecuted();
+        cancelRun();
+        respondWithError(
                 sent
                         ? new ErrorResponse(ErrorKind.DEADLINE_RUNNING, 0)
                         : new ErrorResponse(
@@ -521,41 +532,41 @@
         if (stage == Stage.ENDED) {
             return;
         }
-        if (stage == Stage.WAITING && route != null) {
+        if (stage == Stage.QUEUED && route != null) {
             front.localQueues().queueOf(service).remove(this);
         }
-        abandonTarget();
+        cancelRun();
         if (route != null) {
             FrontLog.callerLeft(this, entry(), closeCause, ageMillis());
         }
-        if (answer != null && answer.streamBegun()) {
+        if (responseAssembler != null && responseAssembler.streamStarted()) {
             front.metrics().streamTruncated(TruncationCause.CALLER_LEFT);
         }
         end();
     }
 
-    private void abandonTarget() {
-        if (link != null) {
-            link.cancel();
-            link = null;
+    private void cancelRun() {
+        if (connection != null) {
+            connection.cancel();
+            connection = null;
         }
-        leaveTarget(RunEvent.RUN_GIVEN_UP);
+        endRun(RunEvent.RUN_GIVEN_UP);
     }
 
-    private void refuse(ErrorResponse refusal) {
+    private void respondWithError(ErrorResponse error) {
         if (stage == Stage.ENDED) {
             return;
         }
-        if (quotaTaken && !perhapsRun()) {
+        if (quotaConsumed && !mayHaveExecuted()) {
             organisation.ifPresent(known -> front.quotas().giveBack(known.name(), quotaTokens));
         }
-        front.metrics().failed(refusal.kind());
-        FrontLog.refused(this, refusal);
+        front.metrics().failed(error.kind());
+        FrontLog.refused(this, error);
         end();
-        if (answer != null && answer.streamBegun()) {
-            breakOff(TruncationCause.REFUSED);
+        if (responseAssembler != null && responseAssembler.streamStarted()) {
+            abortResponse(TruncationCause.REFUSED);
         } else {
-            caller.answer(refusal);
+            caller.respond(error);
         }
     }
 
@@ -564,8 +575,8 @@
         if (ticket != null) {
             ticket.ended(RunEvent.RUN_GIVEN_UP, 0);
         }
-        if (answer != null) {
-            answer.reset();
+        if (responseAssembler != null) {
+            responseAssembler.discardIncomplete();
         }
         body.release();
         front.exchangeEnded(this);
@@ -573,8 +584,8 @@
 
     /** Returns the time from the last sending to the first byte of its answer, if that came. */
     OptionalLong firstByteMillis() {
-        return visit != null && visit.firstByteReceived()
-                ? OptionalLong.of(visit.firstByteMillis())
+        return targetRun != null && targetRun.firstByteReceived()
+                ? OptionalLong.of(targetRun.firstByteMillis())
                 : OptionalLong.empty();
     }
 
@@ -593,8 +604,8 @@
     }
 
     /** Returns what was known when the request arrived. */
-    CatalogFreshness knowledge() {
-        return knowledge;
+    CatalogFreshness catalogFreshness() {
+        return catalogFreshness;
     }
 
     /** Returns the time since the request arrived. */
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerPort.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerPort.java
@@ -13,7 +13,7 @@
  */
 public final class CallerPort {
     /** Connections that wait to be accepted; a full queue costs a caller seconds. */
-    private static final int BACKLOG = 1_024;
+    private static final int MAX_BACKLOG = 1_024;
 
     private final ServerSocketChannel channel;
 
@@ -34,7 +34,7 @@
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            channel.bind(new InetSocketAddress(address.substring(0, colon), port), BACKLOG);
+            channel.bind(new InetSocketAddress(address.substring(0, colon), port), MAX_BACKLOG);
         } catch (IOException e) {
             channel.close();
             throw e;
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/EventStreamRelay.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/EventStreamFramer.java
@@ -11,28 +11,28 @@
  * <p>A target may stop in the middle of an event. If the half event were passed on, the caller would read two runs
  * joined into one event; so a piece is held back until the empty line that ends its event.
  */
-final class EventStreamRelay {
+final class EventStreamFramer {
     private static final String ID_FIELD = "id:";
 
-    private ByteBuf held = Unpooled.EMPTY_BUFFER;
+    private ByteBuf partialEvent = Unpooled.EMPTY_BUFFER;
     private Optional<String> lastEventId = Optional.empty();
 
     /** Takes a piece and returns the whole events that are ready to go; the result is the caller's to release. */
-    ByteBuf accept(ByteBuf piece) {
-        ByteBuf all = held.isReadable() ? Unpooled.wrappedBuffer(held, piece) : piece;
+    ByteBuf append(ByteBuf piece) {
+        ByteBuf all = partialEvent.isReadable() ? Unpooled.wrappedBuffer(partialEvent, piece) : piece;
         int end = lastEventEnd(all);
         if (end == all.readableBytes()) {
-            noteIds(all);
-            held = Unpooled.EMPTY_BUFFER;
+            updateLastEventId(all);
+            partialEvent = Unpooled.EMPTY_BUFFER;
             return all;
         }
         if (end < 0) {
-            held = all;
+            partialEvent = all;
             return Unpooled.EMPTY_BUFFER;
         }
         ByteBuf whole = all.readRetainedSlice(end);
-        noteIds(whole);
-        held = all.readBytes(all.readableBytes());
+        updateLastEventId(whole);
+        partialEvent = all.readBytes(all.readableBytes());
         all.release();
         return whole;
     }
@@ -43,14 +43,14 @@
     }
 
     /** Tells whether half an event is held back. */
-    boolean holdsPartOfEvent() {
-        return held.isReadable();
+    boolean hasPartialEvent() {
+        return partialEvent.isReadable();
     }
 
     /** Drops half an event that was held back. */
-    void reset() {
-        held.release();
-        held = Unpooled.EMPTY_BUFFER;
+    void discardPartialEvent() {
+        partialEvent.release();
+        partialEvent = Unpooled.EMPTY_BUFFER;
     }
 
     private static int lastEventEnd(ByteBuf all) {
@@ -68,7 +68,7 @@
         return -1;
     }
 
-    private void noteIds(ByteBuf whole) {
+    private void updateLastEventId(ByteBuf whole) {
         String text = whole.toString(StandardCharsets.UTF_8);
         int lineBreak = text.lastIndexOf("\n" + ID_FIELD);
         if (lineBreak < 0 && !text.startsWith(ID_FIELD)) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
@@ -37,8 +37,8 @@
                 .with(EventField.OCCUPANCY, Math.round(candidate.occupancy() * 100) / 100.0)
                 .with(EventField.PREFILL_TOKENS, candidate.uncachedTokens())
                 .with(EventField.PREDICTED_MILLIS, Math.round(candidate.firstEventMillis()))
-                .with(EventField.VERSION, exchange.knowledge().catalogVersion())
-                .with(EventField.AGE_MILLIS, exchange.knowledge().itemsAgeMillis())
+                .with(EventField.VERSION, exchange.catalogFreshness().catalogVersion())
+                .with(EventField.AGE_MILLIS, exchange.catalogFreshness().itemsAgeMillis())
                 .call();
     }
 
@@ -75,8 +75,8 @@
                 .with(EventField.RAN, refusal.kind().ran().wireName())
                 .with(EventField.WAITED_MILLIS, exchange.ageMillis())
                 .with(EventField.COME_BACK_MILLIS, refusal.retryAfterMillis())
-                .with(EventField.VERSION, exchange.knowledge().catalogVersion())
-                .with(EventField.AGE_MILLIS, exchange.knowledge().itemsAgeMillis());
+                .with(EventField.VERSION, exchange.catalogFreshness().catalogVersion())
+                .with(EventField.AGE_MILLIS, exchange.catalogFreshness().itemsAgeMillis());
         if (exchange.head() != null) {
             line.with(EventField.REQUEST, exchange.head().attemptId());
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/HttpEndpoint.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/HttpEndpoint.java
@@ -28,7 +28,7 @@
 /** A small HTTP server for short questions with short answers: where to connect, whether ready, metrics. */
 public final class HttpEndpoint {
     /** Most bytes of a question's body; none of them needs one. */
-    private static final int MOST_BODY_BYTES = 4_096;
+    private static final int MAX_BODY_BYTES = 4_096;
 
     /** Answers one question. */
     @FunctionalInterface
@@ -65,7 +65,7 @@
     }
 
     private final EventLoopGroup loop;
-    private final RequestHandler answerer;
+    private final RequestHandler handler;
     private Channel server;
 
     /**
@@ -76,7 +76,7 @@
      */
     public HttpEndpoint(EventLoopGroup loop, RequestHandler answerer) {
         this.loop = loop;
-        this.answerer = answerer;
+        this.handler = answerer;
     }
 
     /**
@@ -108,8 +108,8 @@
                         channel.pipeline()
                                 .addLast(new HttpRequestDecoder())
                                 .addLast(new HttpResponseEncoder())
-                                .addLast(new HttpObjectAggregator(MOST_BODY_BYTES))
-                                .addLast(new QuestionHandler());
+                                .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
+                                .addLast(new EndpointHandler());
                     }
                 })
                 .bind(ip, port);
@@ -124,12 +124,12 @@
         }
     }
 
-    private final class QuestionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class EndpointHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest question) {
             Response answer = question.decoderResult().isFailure()
                     ? new Response(400, "text/plain", "")
-                    : answerer.handle(question.method().name(), question.uri());
+                    : handler.handle(question.method().name(), question.uri());
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(answer.status()),
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemsAnswerCodec.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemsAnswerCodec.java
@@ -14,7 +14,7 @@
 /** Deflates large answers with published items: a change of one key is a whole configuration, full of like lines. */
 final class ItemsAnswerCodec {
     /** Size in bytes from which on an answer is deflated; a smaller one fits into one packet as it is. */
-    private static final int DEFLATE_FROM_BYTES = 1_400;
+    private static final int COMPRESSION_THRESHOLD_BYTES = 1_400;
 
     private ItemsAnswerCodec() {}
 
@@ -25,7 +25,7 @@
      * @return what is sent in its place
      */
     static ItemsAnswer compress(ItemsAnswer answer) {
-        if (answer.getSerializedSize() < DEFLATE_FROM_BYTES) {
+        if (answer.getSerializedSize() < COMPRESSION_THRESHOLD_BYTES) {
             return answer;
         }
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseAssembler.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseAssembler.java
@@ -18,12 +18,12 @@
     private final Route route;
     private final CallerConnection caller;
     private final HttpDialect dialect;
-    private final EventStreamRelay relay = new EventStreamRelay();
-    private HttpResponse answer;
+    private final EventStreamFramer framer = new EventStreamFramer();
+    private HttpResponse callerResponse;
     private ResponseHead head;
-    private boolean streamBegun;
-    private boolean tooLong;
-    private CompositeByteBuf collected;
+    private boolean streamStarted;
+    private boolean oversized;
+    private CompositeByteBuf bufferedBody;
 
     ResponseAssembler(Route route, CallerConnection caller, HttpDialect dialect) {
         this.route = route;
@@ -34,63 +34,63 @@
     /** Takes the head of a target's answer. */
     void head(HttpResponse response, ResponseHead read) {
         head = read;
-        if (refused()) {
+        if (notExecuted()) {
             return;
         }
         boolean stream = route.kind() == RouteKind.STREAMING && success() && read.signed();
-        if (!streamBegun) {
-            answer = response;
+        if (!streamStarted) {
+            callerResponse = response;
         }
         if (!stream) {
-            collected = Unpooled.compositeBuffer(1024);
-        } else if (!streamBegun) {
-            streamBegun = true;
-            caller.beginStream(response.status(), dialect.callerHeaders(response));
+            bufferedBody = Unpooled.compositeBuffer(1024);
+        } else if (!streamStarted) {
+            streamStarted = true;
+            caller.startStream(response.status(), dialect.callerHeaders(response));
         }
     }
 
     /** Takes a piece of the body; returns true when something went to the caller. */
     boolean content(ByteBuf piece) {
-        if (collected != null) {
-            collect(piece);
+        if (bufferedBody != null) {
+            bufferBody(piece);
             return false;
         }
-        if (refused()) {
+        if (notExecuted()) {
             piece.release();
             return false;
         }
-        ByteBuf ready = route.resumable() ? relay.accept(piece) : piece;
+        ByteBuf ready = route.resumable() ? framer.append(piece) : piece;
         if (!ready.isReadable()) {
             ready.release();
             return false;
         }
-        caller.stream(ready);
+        caller.writeChunk(ready);
         return true;
     }
 
-    private void collect(ByteBuf piece) {
-        tooLong = tooLong || collected.readableBytes() + piece.readableBytes() > Front.MAX_ANSWER_BYTES;
-        if (tooLong) {
+    private void bufferBody(ByteBuf piece) {
+        oversized = oversized || bufferedBody.readableBytes() + piece.readableBytes() > Front.MAX_ANSWER_BYTES;
+        if (oversized) {
             piece.release();
         } else {
-            collected.addComponent(true, piece);
+            bufferedBody.addComponent(true, piece);
         }
     }
 
     /** Tells whether the target said that it did not run the request. */
-    boolean refused() {
+    boolean notExecuted() {
         return head.notExecuted() || head.wrongTarget();
     }
 
     /** Tells whether another target answered than the one that was meant. */
-    boolean fromOtherTarget() {
+    boolean fromWrongTarget() {
         return head.wrongTarget();
     }
 
     /** Tells whether what came can be passed on: signed if a success, whole, and of a kind with what went before. */
-    boolean proper() {
+    boolean isDeliverable() {
         boolean unsigned = success() && !head.signed();
-        return !unsigned && !tooLong && !(streamBegun && collected != null);
+        return !unsigned && !oversized && !(streamStarted && bufferedBody != null);
     }
 
     /** Returns the status of the last answer; 0 before the first. */
@@ -99,41 +99,41 @@
     }
 
     /** Tells whether the caller has got the head of a stream. */
-    boolean streamBegun() {
-        return streamBegun;
+    boolean streamStarted() {
+        return streamStarted;
     }
 
     /** Tells whether a run at another target can go on with the answer where it stands. */
-    boolean canGoOn() {
-        return !streamBegun || route.resumable() && relay.lastEventId().isPresent();
+    boolean canResume() {
+        return !streamStarted || route.resumable() && framer.lastEventId().isPresent();
     }
 
     /** Returns the last event that the caller has of the stream; empty before the first. */
     Optional<String> lastEventId() {
-        return relay.lastEventId();
+        return framer.lastEventId();
     }
 
     /** Drops what was collected, and half an event, before another target answers. */
-    void reset() {
-        if (collected != null) {
-            collected.release();
-            collected = null;
+    void discardIncomplete() {
+        if (bufferedBody != null) {
+            bufferedBody.release();
+            bufferedBody = null;
         }
-        tooLong = false;
-        relay.reset();
+        oversized = false;
+        framer.discardPartialEvent();
     }
 
     /** Tells whether what came ends where an event ends. */
-    boolean endsWhole() {
-        return !streamBegun || !relay.holdsPartOfEvent();
+    boolean endsAtEventBoundary() {
+        return !streamStarted || !framer.hasPartialEvent();
     }
 
     /** Ends the caller's answer with what came. */
     void deliver() {
-        if (!streamBegun) {
-            ByteBuf whole = collected;
-            collected = null;
-            caller.answer(answer.status(), dialect.callerHeaders(answer), whole);
+        if (!streamStarted) {
+            ByteBuf whole = bufferedBody;
+            bufferedBody = null;
+            caller.respond(callerResponse.status(), dialect.callerHeaders(callerResponse), whole);
         } else {
             caller.endStream();
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseTimeout.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseTimeout.java
@@ -16,14 +16,14 @@
  */
 public final class ResponseTimeout {
     /** Time without a byte after which an answer that has begun counts as lost. */
-    private static final long STALLED_MILLIS = 1_000;
+    private static final long IDLE_TIMEOUT_MILLIS = 1_000;
     /** Longest time for an answer that keeps coming; another source may then be faster. */
-    private static final long LONGEST_MILLIS = 10_000;
+    private static final long TOTAL_TIMEOUT_MILLIS = 10_000;
 
     private final EventLoopGroup loop;
-    private ScheduledFuture<?> next;
-    private Runnable whenLate;
-    private long beganAtNanos;
+    private ScheduledFuture<?> pendingCheck;
+    private Runnable timeoutAction;
+    private long startedAtNanos;
     private long lastByteAtNanos;
     private long receivedBytes;
 
@@ -43,17 +43,17 @@
      * @param action run once when the answer is late; not after {@link #cancel()}
      */
     public void start(long firstByteMillis, Runnable action) {
-        whenLate = action;
-        beganAtNanos = System.nanoTime();
+        timeoutAction = action;
+        startedAtNanos = System.nanoTime();
         receivedBytes = 0;
-        next = loop.schedule(this::check, firstByteMillis, TimeUnit.MILLISECONDS);
+        pendingCheck = loop.schedule(this::checkProgress, firstByteMillis, TimeUnit.MILLISECONDS);
     }
 
     /** Ends the wait. */
     public void cancel() {
-        if (next != null) {
-            next.cancel(false);
-            next = null;
+        if (pendingCheck != null) {
+            pendingCheck.cancel(false);
+            pendingCheck = null;
         }
     }
 
@@ -63,7 +63,7 @@
      * @return true between its first byte and its end
      */
     public boolean isReceiving() {
-        return next != null && receivedBytes > 0;
+        return pendingCheck != null && receivedBytes > 0;
     }
 
     /**
@@ -81,7 +81,7 @@
      * @return milliseconds
      */
     public long elapsedMillis() {
-        return millisSince(beganAtNanos);
+        return millisSince(startedAtNanos);
     }
 
     /**
@@ -100,16 +100,18 @@
         };
     }
 
-    private void check() {
+    private void checkProgress() {
         long leftMillis = receivedBytes == 0
                 ? 0
-                : Math.min(STALLED_MILLIS - millisSince(lastByteAtNanos), LONGEST_MILLIS - millisSince(beganAtNanos));
+                : Math.min(
+                        IDLE_TIMEOUT_MILLIS - millisSince(lastByteAtNanos),
+                        TOTAL_TIMEOUT_MILLIS - millisSince(startedAtNanos));
         if (leftMillis > 0) {
-            next = loop.schedule(this::check, leftMillis, TimeUnit.MILLISECONDS);
+            pendingCheck = loop.schedule(this::checkProgress, leftMillis, TimeUnit.MILLISECONDS);
             return;
         }
-        next = null;
-        whenLate.run();
+        pendingCheck = null;
+        timeoutAction.run();
     }
 
     private static long millisSince(long nanos) {
