--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/JoinedRanksTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/JoinedRanksTest.java
@@ -21,16 +21,16 @@
      */
     @Test
     void shortRequestsWaitWithTheRankAbove() {
-        ranks.place(rank(0, 0), SUMMARY_MILLIS, 650);
-        ranks.place(rank(0, 1), NOTE_MILLIS, 250);
-        assertThat(ranks.place(rank(0, 2), CHECK_MILLIS, 330), is(new JoinedRanks.Place(rank(0, 1), 250)));
+        ranks.assign(rank(0, 0), SUMMARY_MILLIS, 650);
+        ranks.assign(rank(0, 1), NOTE_MILLIS, 250);
+        assertThat(ranks.assign(rank(0, 2), CHECK_MILLIS, 330), is(new JoinedRanks.Assignment(rank(0, 1), 250)));
     }
 
     /** Notes are nearly as long as summaries. Joined with them, they would take every other slot from an inspector. */
     @Test
     void longRequestsKeepTheirRank() {
-        ranks.place(rank(0, 0), SUMMARY_MILLIS, 650);
-        assertThat(ranks.place(rank(0, 1), NOTE_MILLIS, 250), is(new JoinedRanks.Place(rank(0, 1), 250)));
+        ranks.assign(rank(0, 0), SUMMARY_MILLIS, 650);
+        assertThat(ranks.assign(rank(0, 1), NOTE_MILLIS, 250), is(new JoinedRanks.Assignment(rank(0, 1), 250)));
     }
 
     /**
@@ -39,18 +39,18 @@
      */
     @Test
     void organisationsOfAnotherRankAreNeverJoined() {
-        ranks.place(rank(0, 1), NOTE_MILLIS, 250);
-        assertThat(ranks.place(rank(1, 0), CHECK_MILLIS, 330), is(new JoinedRanks.Place(rank(1, 0), 330)));
+        ranks.assign(rank(0, 1), NOTE_MILLIS, 250);
+        assertThat(ranks.assign(rank(1, 0), CHECK_MILLIS, 330), is(new JoinedRanks.Assignment(rank(1, 0), 330)));
     }
 
     /** One short note among long ones is no reason to treat it otherwise than its route. */
     @Test
     void ranksAreJudgedByTheirAverageAndNotByOneRequest() {
-        ranks.place(rank(0, 0), SUMMARY_MILLIS, 650);
+        ranks.assign(rank(0, 0), SUMMARY_MILLIS, 650);
         for (int i = 0; i < 100; i++) {
-            ranks.place(rank(0, 1), NOTE_MILLIS, 250);
+            ranks.assign(rank(0, 1), NOTE_MILLIS, 250);
         }
-        assertThat(ranks.place(rank(0, 1), 20, 250), is(new JoinedRanks.Place(rank(0, 1), 250)));
+        assertThat(ranks.assign(rank(0, 1), 20, 250), is(new JoinedRanks.Assignment(rank(0, 1), 250)));
     }
 
     private static int rank(int organisationRank, int routeRank) {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/Coordinator.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/Coordinator.java
@@ -13,8 +13,8 @@
  * not be lost: another process takes over with what the others tell it they have under way.
  */
 public final class Coordinator {
-    private final CoordinatorDependencies parts;
-    private final Map<String, ServiceDesk> desks = new HashMap<>();
+    private final CoordinatorDependencies dependencies;
+    private final Map<String, ServiceCoordinator> coordinatorsByService = new HashMap<>();
 
     /**
      * Creates a coordinator that knows of no request.
@@ -22,7 +22,7 @@
      * @param parts what it decides with, and who takes its decisions
      */
     public Coordinator(CoordinatorDependencies parts) {
-        this.parts = parts;
+        this.dependencies = parts;
     }
 
     /**
@@ -32,7 +32,7 @@
      * @param nowMillis steady time in milliseconds
      */
     public void requestPlacement(PlacementRequest ask, long nowMillis) {
-        desk(ask.demand().service()).ask(ask, nowMillis);
+        serviceCoordinator(ask.demand().service()).requestPlacement(ask, nowMillis);
     }
 
     /**
@@ -45,7 +45,7 @@
      * @param nowMillis steady time in milliseconds
      */
     public void reportProgress(String process, long id, RunEvent event, long tookMillis, long nowMillis) {
-        desks.values().forEach(desk -> desk.progress(process, id, event, tookMillis, nowMillis));
+        coordinatorsByService.values().forEach(desk -> desk.reportProgress(process, id, event, tookMillis, nowMillis));
     }
 
     /**
@@ -57,7 +57,7 @@
      * @param nowMillis steady time in milliseconds
      */
     public void reportInFlight(String process, String service, Map<Long, RunningRequests.Run> runs, long nowMillis) {
-        desk(service).underWay(process, runs, nowMillis);
+        serviceCoordinator(service).reportInFlight(process, runs, nowMillis);
     }
 
     /**
@@ -66,7 +66,7 @@
      * @param nowMillis steady time in milliseconds
      */
     public void advance(long nowMillis) {
-        desks.values().forEach(desk -> desk.advance(nowMillis));
+        coordinatorsByService.values().forEach(desk -> desk.advance(nowMillis));
     }
 
     /**
@@ -76,13 +76,13 @@
      */
     public int queuedRequests() {
         int waiting = 0;
-        for (ServiceDesk desk : desks.values()) {
-            waiting += desk.waiting();
+        for (ServiceCoordinator desk : coordinatorsByService.values()) {
+            waiting += desk.queuedRequests();
         }
         return waiting;
     }
 
-    private ServiceDesk desk(String service) {
-        return desks.computeIfAbsent(service, name -> new ServiceDesk(parts, name));
+    private ServiceCoordinator serviceCoordinator(String service) {
+        return coordinatorsByService.computeIfAbsent(service, name -> new ServiceCoordinator(dependencies, name));
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/CoordinatorRanking.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/CoordinatorRanking.java
@@ -22,13 +22,13 @@
  */
 public final class CoordinatorRanking {
     /** Signs of life after which a process knows the fleet and its load: five seconds' worth. */
-    private static final long SETTLED_BEATS = 33;
+    private static final long SETTLED_HEARTBEATS = 33;
     /**
      * Signs of life by which a process must be behind the oldest to count as just started: three seconds' worth, more
      * than news takes. Without it, a fleet whose processes all started together would change its coordinator with each
      * one that settles.
      */
-    private static final long NEWER_BEATS = 20;
+    private static final long MIN_LAG_HEARTBEATS = 20;
 
     private CoordinatorRanking() {}
 
@@ -44,7 +44,7 @@
         for (Member member : serving) {
             oldest = Math.max(oldest, member.beatSequence());
         }
-        long settledBeats = Math.min(SETTLED_BEATS, oldest - NEWER_BEATS);
+        long settledBeats = Math.min(SETTLED_HEARTBEATS, oldest - MIN_LAG_HEARTBEATS);
         List<Ranked> ranked = new ArrayList<>(serving.size());
         for (Member member : serving) {
             MemberReport report = member.report();
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/RunningRequests.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/RunningRequests.java
@@ -16,14 +16,14 @@
  */
 public final class RunningRequests {
     /** Silence of a process after which its requests are dropped: three of its lists and a half. */
-    private static final long SILENT_MILLIS = 3_500;
+    private static final long REPORT_TIMEOUT_MILLIS = 3_500;
     /** Age up to which a grant may not have reached its process when that made its list: a resent datagram's way. */
-    private static final long UNDER_WAY_MILLIS = 400;
+    private static final long MAX_GRANT_DELIVERY_MILLIS = 400;
 
-    private final Map<String, Map<Long, Run>> byProcess = new HashMap<>();
+    private final Map<String, Map<Long, Run>> runsByProcess = new HashMap<>();
     private final Map<String, Map<Long, Long>> grantedAtMillis = new HashMap<>();
-    private final Map<String, Long> heardAtMillis = new HashMap<>();
-    private final Map<String, Load> loads = new HashMap<>();
+    private final Map<String, Long> lastReportAtMillis = new HashMap<>();
+    private final Map<String, Load> loadsByTarget = new HashMap<>();
     private final LoadListener listener;
 
     /**
@@ -62,8 +62,8 @@
      * @param run what was granted
      * @param nowMillis steady time in milliseconds
      */
-    public void granted(String process, long id, Run run, long nowMillis) {
-        heardAtMillis.putIfAbsent(process, nowMillis);
+    public void recordGrant(String process, long id, Run run, long nowMillis) {
+        lastReportAtMillis.putIfAbsent(process, nowMillis);
         put(process, id, run);
         grantedAtMillis.computeIfAbsent(process, name -> new HashMap<>()).put(id, nowMillis);
     }
@@ -76,7 +76,7 @@
      * @return what was granted, while it is under way
      */
     public Optional<Run> find(String process, long id) {
-        return Optional.ofNullable(byProcess.getOrDefault(process, Map.of()).get(id));
+        return Optional.ofNullable(runsByProcess.getOrDefault(process, Map.of()).get(id));
     }
 
     /**
@@ -86,7 +86,7 @@
      * @param id id of the ask
      * @return the request as it was before; empty when it is not known
      */
-    public Optional<Run> prefilled(String process, long id) {
+    public Optional<Run> recordPrefill(String process, long id) {
         Optional<Run> run = find(process, id);
         run.ifPresent(known -> put(process, id, new Run(known.targetId(), 0)));
         return run;
@@ -99,11 +99,11 @@
      * @param id id of the ask
      * @return the request as it was before; empty when it is not known
      */
-    public Optional<Run> ended(String process, long id) {
-        Map<Long, Run> runs = byProcess.get(process);
+    public Optional<Run> recordEnd(String process, long id) {
+        Map<Long, Run> runs = runsByProcess.get(process);
         Run run = runs == null ? null : runs.remove(id);
         if (run != null) {
-            count(run, -1);
+            adjustLoad(run, -1);
         }
         return Optional.ofNullable(run);
     }
@@ -115,13 +115,13 @@
      * @param runs its requests, by id
      * @param nowMillis steady time in milliseconds
      */
-    public void replace(String process, Map<Long, Run> runs, long nowMillis) {
-        heardAtMillis.put(process, nowMillis);
+    public void reconcile(String process, Map<Long, Run> runs, long nowMillis) {
+        lastReportAtMillis.put(process, nowMillis);
         Map<Long, Long> recent = grantedAtMillis.computeIfAbsent(process, name -> new HashMap<>());
-        recent.values().removeIf(atMillis -> nowMillis - atMillis > UNDER_WAY_MILLIS);
-        for (Long id : List.copyOf(byProcess.getOrDefault(process, Map.of()).keySet())) {
+        recent.values().removeIf(atMillis -> nowMillis - atMillis > MAX_GRANT_DELIVERY_MILLIS);
+        for (Long id : List.copyOf(runsByProcess.getOrDefault(process, Map.of()).keySet())) {
             if (!runs.containsKey(id) && !recent.containsKey(id)) {
-                ended(process, id);
+                recordEnd(process, id);
             }
         }
         runs.forEach((id, run) -> put(process, id, run));
@@ -133,17 +133,17 @@
      * @param nowMillis steady time in milliseconds
      * @return names of these processes
      */
-    public List<String> dropSilent(long nowMillis) {
+    public List<String> expireSilent(long nowMillis) {
         List<String> dropped = new ArrayList<>();
-        for (Iterator<Map.Entry<String, Long>> all = heardAtMillis.entrySet().iterator(); all.hasNext(); ) {
+        for (Iterator<Map.Entry<String, Long>> all = lastReportAtMillis.entrySet().iterator(); all.hasNext(); ) {
             Map.Entry<String, Long> process = all.next();
-            if (nowMillis - process.getValue() > SILENT_MILLIS) {
+            if (nowMillis - process.getValue() > REPORT_TIMEOUT_MILLIS) {
                 all.remove();
                 dropped.add(process.getKey());
                 grantedAtMillis.remove(process.getKey());
-                Map<Long, Run> runs = byProcess.remove(process.getKey());
+                Map<Long, Run> runs = runsByProcess.remove(process.getKey());
                 if (runs != null) {
-                    runs.values().forEach(run -> count(run, -1));
+                    runs.values().forEach(run -> adjustLoad(run, -1));
                 }
             }
         }
@@ -157,24 +157,24 @@
      * @return requests and prompt tokens
      */
     public Load load(String targetId) {
-        return loads.getOrDefault(targetId, Load.NONE);
+        return loadsByTarget.getOrDefault(targetId, Load.NONE);
     }
 
     private void put(String process, long id, Run run) {
-        Run before = byProcess.computeIfAbsent(process, name -> new HashMap<>()).put(id, run);
+        Run before = runsByProcess.computeIfAbsent(process, name -> new HashMap<>()).put(id, run);
         if (before != null) {
-            count(before, -1);
+            adjustLoad(before, -1);
         }
-        count(run, 1);
+        adjustLoad(run, 1);
     }
 
-    private void count(Run run, int sign) {
+    private void adjustLoad(Run run, int sign) {
         Load load = load(run.targetId());
         Load next = new Load(load.running() + sign, load.prefillTokens() + sign * run.prefillTokens());
         if (next.running() == 0) {
-            loads.remove(run.targetId());
+            loadsByTarget.remove(run.targetId());
         } else {
-            loads.put(run.targetId(), next);
+            loadsByTarget.put(run.targetId(), next);
         }
         listener.changed(run.targetId(), next);
     }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Candidate.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Candidate.java
@@ -10,7 +10,7 @@
  * @param tokensAhead prompt tokens it reads until the first event, those of requests ahead included
  * @param occupancy its requests over its slots when chosen
  * @param firstEventMillis predicted time to the first event
- * @param ratingMillis what the choice was made by: the predicted time, and weights for what follows the first event
+ * @param scoreMillis what the choice was made by: the predicted time, and weights for what follows the first event
  * @param coldAllowance requests a second this process may send it; 0 when it is warm
  */
 public record Candidate(
@@ -19,7 +19,7 @@
         long tokensAhead,
         double occupancy,
         double firstEventMillis,
-        double ratingMillis,
+        double scoreMillis,
         int coldAllowance) {
     /**
      * Notes that the request is sent.
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/RendezvousColdShares.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/RendezvousColdShares.java
@@ -13,9 +13,9 @@
  */
 public final class RendezvousColdShares implements ColdShares {
     /** Processes that send to one cold target; more would get less than one request a second each. */
-    private static final int SENDERS = 3;
+    private static final int MAX_SENDERS = 3;
 
-    private final String ownName;
+    private final String localName;
     private final Supplier<Collection<String>> memberNames;
     private final Function<Target, Double> requestsPerSecond;
 
@@ -28,7 +28,7 @@
      */
     public RendezvousColdShares(
             String ownName, Supplier<Collection<String>> memberNames, Function<Target, Double> requestsPerSecond) {
-        this.ownName = ownName;
+        this.localName = ownName;
         this.memberNames = memberNames;
         this.requestsPerSecond = requestsPerSecond;
     }
@@ -36,14 +36,14 @@
     @Override
     public int allowance(Target target) {
         Collection<String> names = memberNames.get();
-        long own = Rendezvous.weight(ownName, target.id());
+        long own = Rendezvous.weight(localName, target.id());
         long ahead = names.stream()
-                .filter(name -> !name.equals(ownName) && Rendezvous.weight(name, target.id()) > own)
+                .filter(name -> !name.equals(localName) && Rendezvous.weight(name, target.id()) > own)
                 .count();
-        if (ahead >= SENDERS) {
+        if (ahead >= MAX_SENDERS) {
             return 0;
         }
         double bears = requestsPerSecond.apply(target);
-        return (int) Math.floor(bears / (SENDERS + 1) + 0.5);
+        return (int) Math.floor(bears / (MAX_SENDERS + 1) + 0.5);
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/TargetSelector.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/TargetSelector.java
@@ -22,16 +22,16 @@
      * Occupancy up to which the highest tier is sent. News of freed slots is a tenth of a second old; one request that
      * waits at each target keeps it at work meanwhile.
      */
-    private static final double FULL_OCCUPANCY = 1.15;
+    private static final double MAX_OCCUPANCY = 1.15;
     /** Occupancy kept free for each rank above a request's own: about one slot in twelve. */
     private static final double RESERVE_PER_RANK = 0.08;
     /** Most ranks that a reserve is kept for, so that the lowest tier always keeps most of the fleet. */
-    private static final int MOST_RESERVES = 3;
+    private static final int MAX_RESERVE_RANKS = 3;
     /**
      * Price of leaving the own data centre: the way there and back, and as much again for bytes between data centres,
      * which are paid for. A tenth of the shortest objective of a plain service.
      */
-    private static final double OTHER_DATA_CENTRE_MILLIS = 10;
+    private static final double CROSS_DATA_CENTRE_PENALTY_MILLIS = 10;
 
     /**
      * Part of the time for the rest of an answer that counts like time to its first event: long answers go to fast
@@ -39,16 +39,16 @@
      */
     private static final double ANSWER_WEIGHT = 0.1;
     /** Time in which a slot of one of several fast targets frees: each holds a request for about a second. */
-    private static final double SLOT_FREES_MILLIS = 50;
+    private static final double SLOT_WAIT_MILLIS = 50;
     /** Share of the time left within which an answer should be predicted to end: predictions are off by a tenth. */
-    private static final double SAFE_TIME_SHARE = 0.85;
+    private static final double DEADLINE_SAFETY_SHARE = 0.85;
 
     /** The speed of a target that has shown none yet. */
     private static final TargetSpeed ASSUMED_SPEED = new TargetSpeed();
 
-    private final PromptCache prompts;
+    private final PromptCache promptCache;
     private final ColdShares coldShares;
-    private final DoubleSupplier spread;
+    private final DoubleSupplier jitter;
     private final Policy policy;
 
     /**
@@ -72,9 +72,9 @@
      * @param policy what is in use
      */
     public TargetSelector(PromptCache prompts, ColdShares coldShares, DoubleSupplier spread, Policy policy) {
-        this.prompts = prompts;
+        this.promptCache = prompts;
         this.coldShares = coldShares;
-        this.spread = spread;
+        this.jitter = spread;
         this.policy = policy;
     }
 
@@ -89,7 +89,7 @@
      */
     public Optional<Candidate> select(
             Demand demand, Collection<TargetState> targets, Collection<String> evacuated, long nowMillis) {
-        double mostOccupancy = mostOccupancy(demand.tierRank());
+        double mostOccupancy = maxOccupancy(demand.tierRank());
         Candidate best = null;
         for (TargetState state : targets) {
             if (!eligible(state, demand, evacuated, nowMillis)) {
@@ -106,23 +106,23 @@
                     continue;
                 }
             }
-            Candidate candidate = rate(state, demand, occupancy, allowance, nowMillis);
-            if (best == null || candidate.ratingMillis() < best.ratingMillis()) {
+            Candidate candidate = score(state, demand, occupancy, allowance, nowMillis);
+            if (best == null || candidate.scoreMillis() < best.scoreMillis()) {
                 best = candidate;
             }
         }
         return Optional.ofNullable(best);
     }
 
-    private double mostOccupancy(int tierRank) {
-        double full = policy.isEnabled(Mechanism.BEYOND_SLOTS) ? FULL_OCCUPANCY : 1;
-        int reserves = Math.min(TierRank.ofRoute(tierRank), MOST_RESERVES);
+    private double maxOccupancy(int tierRank) {
+        double full = policy.isEnabled(Mechanism.BEYOND_SLOTS) ? MAX_OCCUPANCY : 1;
+        int reserves = Math.min(TierRank.ofRoute(tierRank), MAX_RESERVE_RANKS);
         return policy.isEnabled(Mechanism.RESERVE_BY_RANK) ? full - RESERVE_PER_RANK * reserves : full;
     }
 
     private long uncachedTokens(Demand demand, TargetState state, long nowMillis) {
         return policy.isEnabled(Mechanism.PROMPT_MEMORY)
-                ? prompts.uncachedTokens(
+                ? promptCache.uncachedTokens(
                         demand.promptParts(),
                         demand.promptTokens(),
                         state.target().id(),
@@ -156,7 +156,7 @@
     }
 
     private double firstEventOnceFree(TargetState state, Demand demand, long nowMillis) {
-        return speed(state).firstEventMillis(uncachedTokens(demand, state, nowMillis), 1) + SLOT_FREES_MILLIS;
+        return speed(state).firstEventMillis(uncachedTokens(demand, state, nowMillis), 1) + SLOT_WAIT_MILLIS;
     }
 
     private boolean eligible(TargetState state, Demand demand, Collection<String> evacuated, long nowMillis) {
@@ -169,8 +169,8 @@
                         || state.target().models().contains(demand.model()));
     }
 
-    private Candidate rate(TargetState state, Demand demand, double occupancy, int allowance, long nowMillis) {
-        double far = demand.dataCentre().equals(state.target().dataCentre()) ? 0 : OTHER_DATA_CENTRE_MILLIS;
+    private Candidate score(TargetState state, Demand demand, double occupancy, int allowance, long nowMillis) {
+        double far = demand.dataCentre().equals(state.target().dataCentre()) ? 0 : CROSS_DATA_CENTRE_PENALTY_MILLIS;
         long uncached = uncachedTokens(demand, state, nowMillis);
         long ahead = uncached + state.prefillTokens();
         double predicted = speed(state).firstEventMillis(ahead, occupancy) + far;
@@ -180,9 +180,9 @@
             rating += answerMillis * ANSWER_WEIGHT;
         }
         if (policy.isEnabled(Mechanism.DEADLINE_FIT)) {
-            rating += Math.max(0, predicted + answerMillis - demand.remainingMillis() * SAFE_TIME_SHARE);
+            rating += Math.max(0, predicted + answerMillis - demand.remainingMillis() * DEADLINE_SAFETY_SHARE);
         }
-        double spreadFactor = demand.promptTokens() > 0 ? 1 + spread.getAsDouble() : 1;
+        double spreadFactor = demand.promptTokens() > 0 ? 1 + jitter.getAsDouble() : 1;
         return new Candidate(state, uncached, ahead, occupancy, predicted, rating * spreadFactor, allowance);
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/JoinedRanks.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/JoinedRanks.java
@@ -15,11 +15,11 @@
      * How many times as long the requests of the rank above hold their slots, at least, for a rank to join it. At four,
      * as many requests of both ranks give the joined one a fifth of the slots; checks and notes in use differ by eight.
      */
-    private static final double MUCH_LONGER = 4;
+    private static final double MIN_HOLD_TIME_RATIO = 4;
     /** Weight of the newest request: the memory is about fifty, so that a few odd ones do not part a rank. */
-    private static final double NEWEST_WEIGHT = 0.02;
+    private static final double SMOOTHING_FACTOR = 0.02;
 
-    private final TreeMap<Integer, Averages> byRank = new TreeMap<>();
+    private final TreeMap<Integer, Averages> averagesByRank = new TreeMap<>();
 
     /** What the requests of one rank are like. */
     private static final class Averages {
@@ -32,8 +32,8 @@
         }
 
         void add(double newHoldMillis, double newOnTimeMillis) {
-            holdMillis += (newHoldMillis - holdMillis) * NEWEST_WEIGHT;
-            onTimeMillis += (newOnTimeMillis - onTimeMillis) * NEWEST_WEIGHT;
+            holdMillis += (newHoldMillis - holdMillis) * SMOOTHING_FACTOR;
+            onTimeMillis += (newOnTimeMillis - onTimeMillis) * SMOOTHING_FACTOR;
         }
     }
 
@@ -44,7 +44,7 @@
      * @param onTimeMillis time from its arrival for which it goes before those that are late; the same for all that
      *     wait together, since under overload those with more time would win every slot
      */
-    public record Place(int rank, long onTimeMillis) {}
+    public record Assignment(int rank, long onTimeMillis) {}
 
     /**
      * Takes a request into the averages of its rank and tells where it waits.
@@ -54,25 +54,25 @@
      * @param onTimeMillis time from its arrival within which it may still meet its objective
      * @return its place
      */
-    public Place place(int tierRank, double holdMillis, long onTimeMillis) {
-        byRank.computeIfAbsent(tierRank, rank -> new Averages(holdMillis, onTimeMillis))
+    public Assignment assign(int tierRank, double holdMillis, long onTimeMillis) {
+        averagesByRank.computeIfAbsent(tierRank, rank -> new Averages(holdMillis, onTimeMillis))
                 .add(holdMillis, onTimeMillis);
-        Integer above = byRank.lowerKey(tierRank);
+        Integer above = averagesByRank.lowerKey(tierRank);
         if (joins(tierRank, above)) {
-            return new Place(above, shorter(onTimeMillis, above));
+            return new Assignment(above, shorterOnTimeMillis(onTimeMillis, above));
         }
-        Integer below = byRank.higherKey(tierRank);
-        return new Place(tierRank, joins(below, tierRank) ? shorter(onTimeMillis, below) : onTimeMillis);
+        Integer below = averagesByRank.higherKey(tierRank);
+        return new Assignment(tierRank, joins(below, tierRank) ? shorterOnTimeMillis(onTimeMillis, below) : onTimeMillis);
     }
 
     private boolean joins(Integer rank, Integer above) {
         return rank != null
                 && above != null
                 && TierRank.sameOrganisationRank(rank, above)
-                && byRank.get(above).holdMillis >= byRank.get(rank).holdMillis * MUCH_LONGER;
+                && averagesByRank.get(above).holdMillis >= averagesByRank.get(rank).holdMillis * MIN_HOLD_TIME_RATIO;
     }
 
-    private long shorter(long onTimeMillis, int otherRank) {
-        return Math.min(onTimeMillis, Math.round(byRank.get(otherRank).onTimeMillis));
+    private long shorterOnTimeMillis(long onTimeMillis, int otherRank) {
+        return Math.min(onTimeMillis, Math.round(averagesByRank.get(otherRank).onTimeMillis));
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/QueueTimeouts.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/QueueTimeouts.java
@@ -6,7 +6,7 @@
      * Objectives that a request may wait. An answer that is late is still worth having, so a burst of a second is
      * served late and not refused; but whoever is served late takes the slot of one who could be on time.
      */
-    private static final double OBJECTIVES = 2;
+    private static final double MAX_OBJECTIVES = 2;
     /** Share of the time left that waiting may use, so that a refused caller still has time for another attempt. */
     private static final double REMAINING_SHARE = 0.2;
     /** Share of the objective after which a waiting request can hardly meet it. */
@@ -16,11 +16,11 @@
      * empties fills every slot whatever its length. A longer one serves nobody more: those who are served are served
      * later, and those who are refused hear it later.
      */
-    private static final double STANDING_SHARE = 0.5;
+    private static final double BACKLOG_SHARE = 0.5;
     /** Shortest advice: one round of news between processes. */
-    private static final long SOONEST_MILLIS = 250;
+    private static final long MIN_RETRY_AFTER_MILLIS = 250;
     /** Longest advice: a caller that waits longer has mostly run out of its own time. */
-    private static final long LATEST_MILLIS = 8_000;
+    private static final long MAX_RETRY_AFTER_MILLIS = 8_000;
 
     private QueueTimeouts() {}
 
@@ -32,7 +32,7 @@
      * @return time in milliseconds
      */
     public static long queueTimeoutMillis(long objectiveMillis, long remainingMillis) {
-        return (long) Math.min(objectiveMillis * OBJECTIVES, remainingMillis * REMAINING_SHARE);
+        return (long) Math.min(objectiveMillis * MAX_OBJECTIVES, remainingMillis * REMAINING_SHARE);
     }
 
     /**
@@ -52,7 +52,7 @@
      * @return time in milliseconds
      */
     public static long backlogTimeoutMillis(long onTimeMillis) {
-        return (long) (onTimeMillis * STANDING_SHARE);
+        return (long) (onTimeMillis * BACKLOG_SHARE);
     }
 
     /**
@@ -65,7 +65,7 @@
      * @return time in milliseconds
      */
     public static long retryAfterMillis(long standingMillis, double spread) {
-        long middle = Math.min(LATEST_MILLIS, SOONEST_MILLIS + standingMillis);
+        long middle = Math.min(MAX_RETRY_AFTER_MILLIS, MIN_RETRY_AFTER_MILLIS + standingMillis);
         return (long) (middle * (0.75 + 0.5 * spread));
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/RequestQueue.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/RequestQueue.java
@@ -22,13 +22,13 @@
      * What keeps one from being sent keeps nearly all of them; trying each of several hundred at each freed slot would
      * take a coordinator's whole processor. Three allow for two that have tried the targets that are free.
      */
-    private static final int MOST_FAILURES = 3;
+    private static final int MAX_FAILURES_PER_MODEL = 3;
     /** Time without an empty line after which it stands: shorter bursts are worked off late and nobody is refused. */
-    private static final long STANDING_MILLIS = 1_000;
+    private static final long BACKLOG_THRESHOLD_MILLIS = 1_000;
 
-    private final TreeMap<Integer, List<QueuedRequest>> byRank = new TreeMap<>();
-    private final Map<Integer, Standing> standingByRank = new HashMap<>();
-    private final int mostWaiting;
+    private final TreeMap<Integer, List<QueuedRequest>> requestsByRank = new TreeMap<>();
+    private final Map<Integer, Backlog> backlogsByRank = new HashMap<>();
+    private final int maxQueued;
     private final Policy policy;
     private int size;
 
@@ -48,7 +48,7 @@
      * @param policy what is in use
      */
     public RequestQueue(int mostWaiting, Policy policy) {
-        this.mostWaiting = mostWaiting;
+        this.maxQueued = mostWaiting;
         this.policy = policy;
     }
 
@@ -68,7 +68,7 @@
      * @return true when one would have to go first
      */
     public boolean hasQueuedAhead(int tierRank) {
-        return byRank.headMap(tierRank, true).values().stream().anyMatch(list -> !list.isEmpty());
+        return requestsByRank.headMap(tierRank, true).values().stream().anyMatch(list -> !list.isEmpty());
     }
 
     /**
@@ -80,10 +80,10 @@
      */
     public int queuedAhead(int tierRank, long nowMillis) {
         int ahead = 0;
-        for (List<QueuedRequest> list : byRank.headMap(tierRank).values()) {
+        for (List<QueuedRequest> list : requestsByRank.headMap(tierRank).values()) {
             ahead += list.size();
         }
-        for (QueuedRequest waiter : byRank.getOrDefault(tierRank, List.of())) {
+        for (QueuedRequest waiter : requestsByRank.getOrDefault(tierRank, List.of())) {
             ahead += nowMillis <= waiter.onTimeUntilMillis() ? 1 : 0;
         }
         return ahead;
@@ -97,8 +97,8 @@
      * @return time in milliseconds; 0 when the line was worked off a moment ago
      */
     public long backlogAgeMillis(int tierRank, long nowMillis) {
-        Standing standing = standingByRank.get(tierRank);
-        return standing == null ? 0 : standing.millis(nowMillis);
+        Backlog standing = backlogsByRank.get(tierRank);
+        return standing == null ? 0 : standing.ageMillis(nowMillis);
     }
 
     /**
@@ -108,8 +108,8 @@
      * @return time in milliseconds; 0 when all lines were worked off a moment ago
      */
     public long backlogAgeMillis(long nowMillis) {
-        return standingByRank.values().stream()
-                .mapToLong(standing -> standing.millis(nowMillis))
+        return backlogsByRank.values().stream()
+                .mapToLong(standing -> standing.ageMillis(nowMillis))
                 .max()
                 .orElse(0);
     }
@@ -123,7 +123,7 @@
      */
     public long effectiveTimeoutAtMillis(QueuedRequest waiter, long nowMillis) {
         return policy.isEnabled(Mechanism.SHORT_STANDING_LINE)
-                        && backlogAgeMillis(waiter.tierRank(), nowMillis) >= STANDING_MILLIS
+                        && backlogAgeMillis(waiter.tierRank(), nowMillis) >= BACKLOG_THRESHOLD_MILLIS
                 ? Math.min(waiter.queueTimeoutAtMillis(), waiter.backlogTimeoutAtMillis())
                 : waiter.queueTimeoutAtMillis();
     }
@@ -135,12 +135,12 @@
      * @param nowMillis steady time in milliseconds
      */
     public void add(QueuedRequest waiter, long nowMillis) {
-        byRank.computeIfAbsent(waiter.tierRank(), rank -> new ArrayList<>()).add(waiter);
-        standingByRank
-                .computeIfAbsent(waiter.tierRank(), rank -> new Standing())
-                .waits(nowMillis);
+        requestsByRank.computeIfAbsent(waiter.tierRank(), rank -> new ArrayList<>()).add(waiter);
+        backlogsByRank
+                .computeIfAbsent(waiter.tierRank(), rank -> new Backlog())
+                .requestQueued(nowMillis);
         size++;
-        if (size > mostWaiting) {
+        if (size > maxQueued) {
             evictLast(nowMillis);
         }
     }
@@ -151,7 +151,7 @@
      * @param waiter the request
      */
     public void remove(QueuedRequest waiter) {
-        List<QueuedRequest> list = byRank.get(waiter.tierRank());
+        List<QueuedRequest> list = requestsByRank.get(waiter.tierRank());
         if (list != null && list.remove(waiter)) {
             size--;
         }
@@ -166,8 +166,8 @@
      * @param nowMillis steady time in milliseconds
      */
     public void advance(long nowMillis) {
-        for (Integer rank : List.copyOf(byRank.keySet())) {
-            List<QueuedRequest> current = byRank.put(rank, new ArrayList<>());
+        for (Integer rank : List.copyOf(requestsByRank.keySet())) {
+            List<QueuedRequest> current = requestsByRank.put(rank, new ArrayList<>());
             List<QueuedRequest> staying = new ArrayList<>();
             size -= current.size();
             if (policy.isEnabled(Mechanism.ON_TIME_FIRST)) {
@@ -180,7 +180,7 @@
                     waiter.reject(nowMillis);
                     continue;
                 }
-                boolean tried = failures.getOrDefault(waiter.requiredModel(), 0) < MOST_FAILURES;
+                boolean tried = failures.getOrDefault(waiter.requiredModel(), 0) < MAX_FAILURES_PER_MODEL;
                 DispatchResult attempt = tried ? waiter.tryDispatch(nowMillis) : DispatchResult.NO_TARGET;
                 if (tried && attempt == DispatchResult.NO_TARGET) {
                     failures.merge(waiter.requiredModel(), 1, Integer::sum);
@@ -191,16 +191,16 @@
                     staying.add(waiter);
                 }
             }
-            byRank.get(rank).addAll(0, staying);
-            if (byRank.get(rank).isEmpty() && standingByRank.containsKey(rank)) {
-                standingByRank.get(rank).emptied(nowMillis);
+            requestsByRank.get(rank).addAll(0, staying);
+            if (requestsByRank.get(rank).isEmpty() && backlogsByRank.containsKey(rank)) {
+                backlogsByRank.get(rank).queueEmptied(nowMillis);
             }
             size += staying.size();
         }
     }
 
     private void evictLast(long nowMillis) {
-        for (List<QueuedRequest> list : byRank.descendingMap().values()) {
+        for (List<QueuedRequest> list : requestsByRank.descendingMap().values()) {
             if (!list.isEmpty()) {
                 QueuedRequest last = list.remove(list.size() - 1);
                 size--;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/Pace.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/WaitEstimator.java
@@ -5,14 +5,14 @@
 import java.util.TreeMap;
 
 /** How many requests found a target within the last second, by rank. */
-public final class Pace {
+public final class WaitEstimator {
     /** Time looked back on: long enough for a steady figure, short enough to show the loss of targets. */
     private static final long WINDOW_MILLIS = 1_000;
 
-    private final Deque<Placed> latest = new ArrayDeque<>();
+    private final Deque<RecentPlacement> recentPlacements = new ArrayDeque<>();
     private final TreeMap<Integer, Integer> countsByRank = new TreeMap<>();
 
-    private record Placed(int rank, long atMillis) {}
+    private record RecentPlacement(int rank, long atMillis) {}
 
     /**
      * Notes a request that found a target.
@@ -20,8 +20,8 @@
      * @param rank its rank in the waiting line
      * @param nowMillis steady time in milliseconds
      */
-    public void placed(int rank, long nowMillis) {
-        latest.addLast(new Placed(rank, nowMillis));
+    public void recordPlacement(int rank, long nowMillis) {
+        recentPlacements.addLast(new RecentPlacement(rank, nowMillis));
         countsByRank.merge(rank, 1, Integer::sum);
         expire(nowMillis);
     }
@@ -36,9 +36,9 @@
      * @param nowMillis steady time in milliseconds
      * @return time in milliseconds; 0 when nothing at all was placed lately, so that nothing is known
      */
-    public long waitMillis(int ahead, int rank, long nowMillis) {
+    public long estimatedWaitMillis(int ahead, int rank, long nowMillis) {
         expire(nowMillis);
-        if (latest.isEmpty()) {
+        if (recentPlacements.isEmpty()) {
             return 0;
         }
         int placed = countsByRank.tailMap(rank, true).values().stream()
@@ -48,8 +48,8 @@
     }
 
     private void expire(long nowMillis) {
-        while (!latest.isEmpty() && nowMillis - latest.peekFirst().atMillis() > WINDOW_MILLIS) {
-            countsByRank.merge(latest.removeFirst().rank(), -1, Integer::sum);
+        while (!recentPlacements.isEmpty() && nowMillis - recentPlacements.peekFirst().atMillis() > WINDOW_MILLIS) {
+            countsByRank.merge(recentPlacements.removeFirst().rank(), -1, Integer::sum);
         }
     }
 }
