--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/Coordinator.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/Coordinator.java
@@ -29,7 +29,7 @@
      * Takes an ask; the same ask again gets the same decision again.
      *
      * @param ask the ask
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void requestPlacement(PlacementRequest ask, long nowMillis) {
         serviceCoordinator(ask.demand().service()).requestPlacement(ask, nowMillis);
@@ -42,7 +42,7 @@
      * @param id id of its ask
      * @param event what happened
      * @param tookMillis time to the first event, or from the first event to the last; 0 when it says nothing
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void reportProgress(String process, long id, RunEvent event, long tookMillis, long nowMillis) {
         coordinatorsByService.values().forEach(desk -> desk.reportProgress(process, id, event, tookMillis, nowMillis));
@@ -54,7 +54,7 @@
      * @param process who says it
      * @param service name of the service
      * @param runs its requests, by the ids of their asks
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void reportInFlight(String process, String service, Map<Long, RunningRequests.Run> runs, long nowMillis) {
         serviceCoordinator(service).reportInFlight(process, runs, nowMillis);
@@ -63,7 +63,7 @@
     /**
      * Sends and refuses what waits, and drops the requests of processes that fell silent.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void advance(long nowMillis) {
         coordinatorsByService.values().forEach(desk -> desk.advance(nowMillis));
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/PlacementRequest.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/PlacementRequest.java
@@ -31,21 +31,21 @@
     /**
      * Returns when the request's final answer is due.
      *
-     * @return steady time of the coordinator in milliseconds
+     * @return monotonic time of the coordinator in milliseconds
      */
     long deadlineAtMillis();
 
     /**
      * Returns until when the request may wait.
      *
-     * @return steady time of the coordinator in milliseconds
+     * @return monotonic time of the coordinator in milliseconds
      */
     long queueTimeoutAtMillis();
 
     /**
      * Returns until when the request may meet its objective.
      *
-     * @return steady time of the coordinator in milliseconds
+     * @return monotonic time of the coordinator in milliseconds
      */
     long onTimeUntilMillis();
 
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/RunningRequests.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/RunningRequests.java
@@ -60,7 +60,7 @@
      * @param process who got it
      * @param id id of the ask
      * @param run what was granted
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void recordGrant(String process, long id, Run run, long nowMillis) {
         lastReportAtMillis.putIfAbsent(process, nowMillis);
@@ -113,7 +113,7 @@
      *
      * @param process who says it
      * @param runs its requests, by id
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void reconcile(String process, Map<Long, Run> runs, long nowMillis) {
         lastReportAtMillis.put(process, nowMillis);
@@ -130,12 +130,14 @@
     /**
      * Drops the requests of processes that have been silent for long.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      * @return names of these processes
      */
     public List<String> expireSilent(long nowMillis) {
         List<String> dropped = new ArrayList<>();
-        for (Iterator<Map.Entry<String, Long>> all = lastReportAtMillis.entrySet().iterator(); all.hasNext(); ) {
+        for (Iterator<Map.Entry<String, Long>> all =
+                        lastReportAtMillis.entrySet().iterator();
+                all.hasNext(); ) {
             Map.Entry<String, Long> process = all.next();
             if (nowMillis - process.getValue() > REPORT_TIMEOUT_MILLIS) {
                 all.remove();
@@ -161,7 +163,8 @@
     }
 
     private void put(String process, long id, Run run) {
-        Run before = runsByProcess.computeIfAbsent(process, name -> new HashMap<>()).put(id, run);
+        Run before =
+                runsByProcess.computeIfAbsent(process, name -> new HashMap<>()).put(id, run);
         if (before != null) {
             adjustLoad(before, -1);
         }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/ServiceCoordinator.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/ServiceCoordinator.java
@@ -13,10 +13,10 @@
 import org.whinwharf.traffic.target.TargetState;
 import org.whinwharf.traffic.waiting.DispatchResult;
 import org.whinwharf.traffic.waiting.JoinedRanks;
-import org.whinwharf.traffic.waiting.WaitEstimator;
 import org.whinwharf.traffic.waiting.QueueTimeouts;
 import org.whinwharf.traffic.waiting.QueuedRequest;
 import org.whinwharf.traffic.waiting.RequestQueue;
+import org.whinwharf.traffic.waiting.WaitEstimator;
 import org.whinwharf.wire.fleet.RunEvent;
 
 /** The waiting line, the grants and the requests under way of one service, as its coordinator knows them. */
@@ -81,7 +81,8 @@
             return;
         }
         if (!admitQuota(ask, nowMillis)) {
-            dependencies.decisionListener()
+            dependencies
+                    .decisionListener()
                     .overQuota(ask, quotaRejection(ask.organisation().orElseThrow(), nowMillis));
             return;
         }
@@ -132,7 +133,8 @@
 
     private boolean admitQuota(PlacementRequest ask, long nowMillis) {
         return ask.organisation().isEmpty()
-                || dependencies.quotas()
+                || dependencies
+                        .quotas()
                         .tryAdmitFor(ask.requester(), ask.organisation().get(), ask.quotaTokens(), nowMillis);
     }
 
@@ -200,7 +202,8 @@
      * be lost when its slots are needed most. If it speaks with others, the silence counts as an error.
      */
     private void reportSilence(String targetId, long nowMillis) {
-        Long spokeMillis = dependencies.policy().isEnabled(Mechanism.SILENCE_TO_ALL) ? lastActivityAtMillis.get(targetId) : null;
+        Long spokeMillis =
+                dependencies.policy().isEnabled(Mechanism.SILENCE_TO_ALL) ? lastActivityAtMillis.get(targetId) : null;
         if (spokeMillis != null && nowMillis - spokeMillis <= TARGET_ACTIVITY_TIMEOUT_MILLIS) {
             dependencies.targetOutcomeListener().erred(targetId);
         } else {
@@ -225,7 +228,8 @@
         long adviceMillis = dependencies.policy().isEnabled(Mechanism.ADVICE_BY_STANDING) ? standingMillis : 0;
         int ahead = queue.queuedAhead(rank, nowMillis);
         return new RejectionDetails(
-                QueueTimeouts.retryAfterMillis(adviceMillis, dependencies.random().getAsDouble()),
+                QueueTimeouts.retryAfterMillis(
+                        adviceMillis, dependencies.random().getAsDouble()),
                 ahead,
                 estimatedWaitMillis(ahead, rank, nowMillis),
                 standingMillis,
@@ -239,7 +243,8 @@
     }
 
     private long estimatedWaitMillis(int ahead, int rank, long nowMillis) {
-        return waitEstimator.estimatedWaitMillis(ahead, dependencies.policy().isEnabled(Mechanism.PACE_BY_RANK) ? rank : 0, nowMillis);
+        return waitEstimator.estimatedWaitMillis(
+                ahead, dependencies.policy().isEnabled(Mechanism.PACE_BY_RANK) ? rank : 0, nowMillis);
     }
 
     /** One ask that waits. */
@@ -292,7 +297,8 @@
             ImmutableDemand demand = ImmutableDemand.copyOf(request.demand())
                     .withTierRank(queueRank)
                     .withRemainingMillis(request.deadlineAtMillis() - nowMillis);
-            Optional<Candidate> chosen = dependencies.targetSelector()
+            Optional<Candidate> chosen = dependencies
+                    .targetSelector()
                     .select(
                             demand,
                             dependencies.targets().apply(service),
@@ -317,7 +323,8 @@
             long leftMillis = request.onTimeUntilMillis() - nowMillis;
             return leftMillis > 0
                     && candidate.firstEventMillis() > leftMillis
-                    && dependencies.targetSelector()
+                    && dependencies
+                            .targetSelector()
                             .anyTargetWithin(
                                     demand,
                                     dependencies.targets().apply(service),
@@ -349,7 +356,9 @@
         }
 
         void refundQuota() {
-            request.organisation().ifPresent(name -> dependencies.quotas().refundFor(request.requester(), name, request.quotaTokens()));
+            request.organisation()
+                    .ifPresent(
+                            name -> dependencies.quotas().refundFor(request.requester(), name, request.quotaTokens()));
         }
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Candidate.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Candidate.java
@@ -3,15 +3,16 @@
 import org.whinwharf.traffic.target.TargetState;
 
 /**
- * A target chosen for a request, with what the choice was based on.
+ * A target selected for a request, with the data that the selection was based on.
  *
- * @param state the target
- * @param uncachedTokens prompt tokens it has to read
- * @param tokensAhead prompt tokens it reads until the first event, those of requests ahead included
- * @param occupancy its requests over its slots when chosen
+ * @param state state of the target
+ * @param uncachedTokens prompt tokens of the request that the target has not cached
+ * @param tokensAhead prompt tokens that the target reads before the first event, including those of earlier requests
+ * @param occupancy ratio of requests in flight to slots at the time of selection
  * @param firstEventMillis predicted time to the first event
- * @param scoreMillis what the choice was made by: the predicted time, and weights for what follows the first event
- * @param coldAllowance requests a second this process may send it; 0 when it is warm
+ * @param scoreMillis score of the target, lowest is best: the predicted time to the first event plus weighted times
+ *     after it
+ * @param coldAllowance requests per second that this process may send to the cold target; 0 if it is warm
  */
 public record Candidate(
         TargetState state,
@@ -22,9 +23,9 @@
         double scoreMillis,
         int coldAllowance) {
     /**
-     * Notes that the request is sent.
+     * Records that the request is dispatched to the target.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void recordDispatch(long nowMillis) {
         state.health().sent(nowMillis);
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/ColdShares.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/ColdShares.java
@@ -2,14 +2,14 @@
 
 import org.whinwharf.traffic.target.Target;
 
-/** What this process may send to cold targets, out of what all processes together may. */
+/** Divides the requests that a cold target may receive from all processes, and returns the share of this process. */
 @FunctionalInterface
 public interface ColdShares {
     /**
-     * Returns this process's share.
+     * Returns the share of this process.
      *
-     * @param target a cold target
-     * @return requests a second; 0 when this process must send nothing
+     * @param target cold target
+     * @return requests per second; 0 if this process must not send any
      */
     int allowance(Target target);
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Demand.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Demand.java
@@ -5,27 +5,27 @@
 import org.immutables.value.Value;
 import org.whinwharf.traffic.target.PromptPart;
 
-/** What a request asks of a target. */
+/** The requirements of a request that determine which targets can serve it and how long they take. */
 @Value.Immutable
 public interface Demand {
     /**
-     * Returns the service that takes the request.
+     * Returns the service that the request is for.
      *
      * @return name of the service
      */
     String service();
 
     /**
-     * Returns where the request comes from.
+     * Returns the data centre that the request is sent from.
      *
-     * @return name of the data centre of the process that sends it
+     * @return name of the data centre of the sending process
      */
     String dataCentre();
 
     /**
-     * Returns the model it needs.
+     * Returns the model that the request requires.
      *
-     * @return name; empty when any target of the service will do
+     * @return name of the model; empty if any target of the service is suitable
      */
     @Value.Default
     default String model() {
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Returns the length of its prompt.
+     * Returns the length of the prompt.
      *
      * @return tokens; 0 for plain services
      */
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Returns the bound on its answer's length.
+     * Returns the maximum length of the answer.
      *
      * @return tokens; 0 for plain services
      */
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Returns the time left until its final answer is due.
+     * Returns the time left until the deadline of the request.
      *
      * @return time in milliseconds
      */
@@ -63,23 +63,23 @@
     }
 
     /**
-     * Returns the parts of its prompt.
+     * Returns the parts of the prompt.
      *
-     * @return parts, in order; empty for plain services
+     * @return parts in order; empty for plain services
      */
     List<PromptPart> promptParts();
 
     /**
-     * Returns its rank.
+     * Returns the rank of the request.
      *
      * @return rank; 0 is served first
      */
     int tierRank();
 
     /**
-     * Returns the targets that it was sent to before.
+     * Returns the targets that the request was already sent to.
      *
-     * @return ids of targets
+     * @return ids of the targets; none of them is selected again
      */
     Set<String> triedTargets();
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Rendezvous.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Rendezvous.java
@@ -1,15 +1,15 @@
 package org.whinwharf.traffic.placement;
 
-/** Rendezvous hashing: ranks processes for a key, the same everywhere and without a word between them. */
+/** Rendezvous hashing: ranks processes for a key. Each process computes the same ranking without communication. */
 public final class Rendezvous {
     private Rendezvous() {}
 
     /**
-     * Ranks a process for a key.
+     * Computes the weight of a process for a key.
      *
-     * @param processName name of a process
-     * @param key what is shared out
-     * @return weight; the highest come first
+     * @param processName name of the process
+     * @param key name of the resource to be assigned
+     * @return weight; the highest ranks first
      */
     public static long weight(String processName, String key) {
         long mixed = processName.hashCode() * 0x9E3779B97F4A7C15L + key.hashCode() * 0xC2B2AE3D27D4EB4FL;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/RendezvousColdShares.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/RendezvousColdShares.java
@@ -6,13 +6,15 @@
 import org.whinwharf.traffic.target.Target;
 
 /**
- * Gives each cold target to the few processes that rendezvous hashing names.
+ * Assigns each cold target to a few processes by rendezvous hashing.
  *
- * <p>Processes may hold different lists of members for a second or two. The share is cut so that one process more than
- * intended still keeps the sum within what the target bears.
+ * <p>The membership views of processes may differ for one or two seconds. The share is reduced so that the total stays
+ * within the capacity of the target if one extra process sends.
  */
 public final class RendezvousColdShares implements ColdShares {
-    /** Processes that send to one cold target; more would get less than one request a second each. */
+    /**
+     * Maximum number of processes that send to a cold target; with more, each gets less than one request per second.
+     */
     private static final int MAX_SENDERS = 3;
 
     private final String localName;
@@ -20,15 +22,15 @@
     private final Function<Target, Double> requestsPerSecond;
 
     /**
-     * Creates the shares.
+     * Creates the shares of this process.
      *
-     * @param ownName name of this process
-     * @param memberNames names of all processes that serve, this one included
-     * @param requestsPerSecond what a cold target bears from all processes together
+     * @param localName name of this process
+     * @param memberNames names of all serving processes, including this one
+     * @param requestsPerSecond capacity of a cold target, for all processes together
      */
     public RendezvousColdShares(
-            String ownName, Supplier<Collection<String>> memberNames, Function<Target, Double> requestsPerSecond) {
-        this.localName = ownName;
+            String localName, Supplier<Collection<String>> memberNames, Function<Target, Double> requestsPerSecond) {
+        this.localName = localName;
         this.memberNames = memberNames;
         this.requestsPerSecond = requestsPerSecond;
     }
@@ -36,14 +38,14 @@
     @Override
     public int allowance(Target target) {
         Collection<String> names = memberNames.get();
-        long own = Rendezvous.weight(localName, target.id());
-        long ahead = names.stream()
-                .filter(name -> !name.equals(localName) && Rendezvous.weight(name, target.id()) > own)
+        long localWeight = Rendezvous.weight(localName, target.id());
+        long rankedHigher = names.stream()
+                .filter(name -> !name.equals(localName) && Rendezvous.weight(name, target.id()) > localWeight)
                 .count();
-        if (ahead >= MAX_SENDERS) {
+        if (rankedHigher >= MAX_SENDERS) {
             return 0;
         }
-        double bears = requestsPerSecond.apply(target);
-        return (int) Math.floor(bears / (MAX_SENDERS + 1) + 0.5);
+        double capacity = requestsPerSecond.apply(target);
+        return (int) Math.floor(capacity / (MAX_SENDERS + 1) + 0.5);
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/TargetSelector.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/TargetSelector.java
@@ -11,39 +11,39 @@
 import org.whinwharf.traffic.target.TargetState;
 
 /**
- * Chooses the target whose first event is predicted to come soonest.
+ * Selects the target with the lowest predicted time to the first event.
  *
- * <p>Engines admit in order of arrival and know no ranks. So a request is sent only while the target has a free slot by
- * all that is known, and the lower its rank the more slots must stay free behind it: when a burst fills the fleet, the
- * last slots go to the highest tier without any word between processes.
+ * <p>Engines process requests in order of arrival, without regard to rank. A request is therefore sent only to a target
+ * that has a free slot as far as is known, and the lower its rank, the more slots must stay free for higher ranks. When
+ * a burst fills the fleet, the highest tier gets the last slots without any coordination between processes.
  */
 public final class TargetSelector {
     /**
-     * Occupancy up to which the highest tier is sent. News of freed slots is a tenth of a second old; one request that
-     * waits at each target keeps it at work meanwhile.
+     * Maximum occupancy for requests of the highest tier. Reports of freed slots are a tenth of a second old. One
+     * request that waits at each target keeps the target busy in the meantime.
      */
     private static final double MAX_OCCUPANCY = 1.15;
-    /** Occupancy kept free for each rank above a request's own: about one slot in twelve. */
+    /** Occupancy reserved for each rank above that of the request: about one slot in twelve. */
     private static final double RESERVE_PER_RANK = 0.08;
-    /** Most ranks that a reserve is kept for, so that the lowest tier always keeps most of the fleet. */
+    /** Maximum number of ranks with a reserve, so that the lowest tier can always use most of the fleet. */
     private static final int MAX_RESERVE_RANKS = 3;
     /**
-     * Price of leaving the own data centre: the way there and back, and as much again for bytes between data centres,
-     * which are paid for. A tenth of the shortest objective of a plain service.
+     * Penalty for a target in another data centre: the round-trip time, and as much again because traffic between data
+     * centres is billed. It is a tenth of the shortest latency objective of a plain service.
      */
     private static final double CROSS_DATA_CENTRE_PENALTY_MILLIS = 10;
 
     /**
-     * Part of the time for the rest of an answer that counts like time to its first event: long answers go to fast
-     * engines, where they hold a slot for less time, and short ones leave these free.
+     * Weight of the time from the first event to the end of the answer. Long answers go to fast engines, where they
+     * hold a slot for less time, and short answers leave these engines free.
      */
     private static final double ANSWER_WEIGHT = 0.1;
-    /** Time in which a slot of one of several fast targets frees: each holds a request for about a second. */
+    /** Wait for a free slot at one of several fast targets; each request holds its slot for about a second. */
     private static final double SLOT_WAIT_MILLIS = 50;
-    /** Share of the time left within which an answer should be predicted to end: predictions are off by a tenth. */
+    /** Share of the remaining time that a predicted answer may use, because predictions are off by a tenth. */
     private static final double DEADLINE_SAFETY_SHARE = 0.85;
 
-    /** The speed of a target that has shown none yet. */
+    /** Speed assumed for a target without measurements. */
     private static final TargetSpeed ASSUMED_SPEED = new TargetSpeed();
 
     private final PromptCache promptCache;
@@ -52,51 +52,51 @@
     private final Policy policy;
 
     /**
-     * Creates a placement.
+     * Creates a selector with all mechanisms enabled.
      *
-     * @param prompts where prompts were read
-     * @param coldShares what this process may send to cold targets
-     * @param spread part by which a prediction for an engine is made worse at random, drawn for each; processes that
-     *     choose without knowing of each other would all take the fastest engine together
+     * @param promptCache record of the targets that have read each prompt
+     * @param coldShares share of this process in the requests to cold targets
+     * @param jitter random fraction that is added to the score of each engine; without it, processes that select
+     *     independently would all pick the fastest engine at once
      */
-    public TargetSelector(PromptCache prompts, ColdShares coldShares, DoubleSupplier spread) {
-        this(prompts, coldShares, spread, Policy.ALL_ENABLED);
+    public TargetSelector(PromptCache promptCache, ColdShares coldShares, DoubleSupplier jitter) {
+        this(promptCache, coldShares, jitter, Policy.ALL_ENABLED);
     }
 
     /**
-     * Creates a placement that uses a part of the policy.
+     * Creates a selector with a given policy.
      *
-     * @param prompts where prompts were read
-     * @param coldShares what this process may send to cold targets
-     * @param spread part by which a prediction for an engine is made worse at random
-     * @param policy what is in use
+     * @param promptCache record of the targets that have read each prompt
+     * @param coldShares share of this process in the requests to cold targets
+     * @param jitter random fraction that is added to the score of each engine
+     * @param policy enabled mechanisms
      */
-    public TargetSelector(PromptCache prompts, ColdShares coldShares, DoubleSupplier spread, Policy policy) {
-        this.promptCache = prompts;
+    public TargetSelector(PromptCache promptCache, ColdShares coldShares, DoubleSupplier jitter, Policy policy) {
+        this.promptCache = promptCache;
         this.coldShares = coldShares;
-        this.jitter = spread;
+        this.jitter = jitter;
         this.policy = policy;
     }
 
     /**
-     * Chooses a target.
+     * Selects the best target for a request.
      *
-     * @param demand what the request asks
-     * @param targets all targets of its service
-     * @param evacuated data centres that must get nothing new
-     * @param nowMillis steady time in milliseconds
-     * @return the target; empty when none may take the request now
+     * @param demand requirements of the request
+     * @param targets all targets of the service
+     * @param evacuatedDataCentres data centres that must not receive new requests
+     * @param nowMillis monotonic time in milliseconds
+     * @return target; empty if no target accepts the request now
      */
     public Optional<Candidate> select(
-            Demand demand, Collection<TargetState> targets, Collection<String> evacuated, long nowMillis) {
-        double mostOccupancy = maxOccupancy(demand.tierRank());
+            Demand demand, Collection<TargetState> targets, Collection<String> evacuatedDataCentres, long nowMillis) {
+        double maxOccupancy = maxOccupancy(demand.tierRank());
         Candidate best = null;
         for (TargetState state : targets) {
-            if (!eligible(state, demand, evacuated, nowMillis)) {
+            if (!eligible(state, demand, evacuatedDataCentres, nowMillis)) {
                 continue;
             }
             double occupancy = state.occupancy();
-            if (occupancy + 1.0 / state.target().slots() > mostOccupancy + 1e-9 && occupancy > 0) {
+            if (occupancy + 1.0 / state.target().slots() > maxOccupancy + 1e-9 && occupancy > 0) {
                 continue;
             }
             int allowance = 0;
@@ -135,34 +135,35 @@
     }
 
     /**
-     * Tells whether a target that is full now would bring the first event in time once a slot frees.
+     * Tells whether any target, even a full one, is predicted to deliver the first event in time once a slot is free.
      *
-     * @param demand what the request asks
-     * @param targets all targets of its service
-     * @param evacuated data centres that must get nothing new
-     * @param withinMillis time in which the first event must come
-     * @param nowMillis steady time in milliseconds
-     * @return true when waiting for it is worth while
+     * @param demand requirements of the request
+     * @param targets all targets of the service
+     * @param evacuatedDataCentres data centres that must not receive new requests
+     * @param withinMillis maximum time to the first event
+     * @param nowMillis monotonic time in milliseconds
+     * @return true if the request should wait for such a target
      */
     public boolean anyTargetWithin(
             Demand demand,
             Collection<TargetState> targets,
-            Collection<String> evacuated,
+            Collection<String> evacuatedDataCentres,
             long withinMillis,
             long nowMillis) {
         return targets.stream()
-                .filter(state -> eligible(state, demand, evacuated, nowMillis) && !state.cold(nowMillis))
-                .anyMatch(state -> firstEventOnceFree(state, demand, nowMillis) <= withinMillis);
+                .filter(state -> eligible(state, demand, evacuatedDataCentres, nowMillis) && !state.cold(nowMillis))
+                .anyMatch(state -> firstEventMillisOnceFree(state, demand, nowMillis) <= withinMillis);
     }
 
-    private double firstEventOnceFree(TargetState state, Demand demand, long nowMillis) {
+    private double firstEventMillisOnceFree(TargetState state, Demand demand, long nowMillis) {
         return speed(state).firstEventMillis(uncachedTokens(demand, state, nowMillis), 1) + SLOT_WAIT_MILLIS;
     }
 
-    private boolean eligible(TargetState state, Demand demand, Collection<String> evacuated, long nowMillis) {
+    private boolean eligible(
+            TargetState state, Demand demand, Collection<String> evacuatedDataCentres, long nowMillis) {
         return state.usable(nowMillis)
                 && state.health().admits(nowMillis)
-                && !evacuated.contains(state.target().dataCentre())
+                && !evacuatedDataCentres.contains(state.target().dataCentre())
                 && !demand.triedTargets().contains(state.target().id())
                 && (demand.model().isEmpty()
                         || state.target().models().isEmpty()
@@ -170,19 +171,22 @@
     }
 
     private Candidate score(TargetState state, Demand demand, double occupancy, int allowance, long nowMillis) {
-        double far = demand.dataCentre().equals(state.target().dataCentre()) ? 0 : CROSS_DATA_CENTRE_PENALTY_MILLIS;
-        long uncached = uncachedTokens(demand, state, nowMillis);
-        long ahead = uncached + state.prefillTokens();
-        double predicted = speed(state).firstEventMillis(ahead, occupancy) + far;
+        double penaltyMillis =
+                demand.dataCentre().equals(state.target().dataCentre()) ? 0 : CROSS_DATA_CENTRE_PENALTY_MILLIS;
+        long uncachedTokens = uncachedTokens(demand, state, nowMillis);
+        long tokensAhead = uncachedTokens + state.prefillTokens();
+        double predictedMillis = speed(state).firstEventMillis(tokensAhead, occupancy) + penaltyMillis;
         double answerMillis = speed(state).answerMillis(demand.maxAnswerTokens());
-        double rating = predicted;
+        double scoreMillis = predictedMillis;
         if (policy.isEnabled(Mechanism.ANSWER_LENGTH)) {
-            rating += answerMillis * ANSWER_WEIGHT;
+            scoreMillis += answerMillis * ANSWER_WEIGHT;
         }
         if (policy.isEnabled(Mechanism.DEADLINE_FIT)) {
-            rating += Math.max(0, predicted + answerMillis - demand.remainingMillis() * DEADLINE_SAFETY_SHARE);
+            scoreMillis +=
+                    Math.max(0, predictedMillis + answerMillis - demand.remainingMillis() * DEADLINE_SAFETY_SHARE);
         }
-        double spreadFactor = demand.promptTokens() > 0 ? 1 + jitter.getAsDouble() : 1;
-        return new Candidate(state, uncached, ahead, occupancy, predicted, rating * spreadFactor, allowance);
+        double jitterFactor = demand.promptTokens() > 0 ? 1 + jitter.getAsDouble() : 1;
+        return new Candidate(
+                state, uncachedTokens, tokensAhead, occupancy, predictedMillis, scoreMillis * jitterFactor, allowance);
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/package-info.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Which target a request goes to. */
+/** Selection of the target for a request. */
 package org.whinwharf.traffic.placement;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/policy/Mechanism.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/policy/Mechanism.java
@@ -1,33 +1,33 @@
 package org.whinwharf.traffic.policy;
 
-/** A part of the policy that can be switched off alone, to measure what it is worth on a fleet. */
+/** A mechanism of the scheduling policy. Each can be disabled separately to measure its effect on a fleet. */
 public enum Mechanism {
-    /** Routes of short requests wait in the rank above their own. */
+    /** Short requests of a route are queued in the next higher rank. */
     JOINED_RANKS,
-    /** Who would wait in vain is refused on arrival. */
+    /** A request whose estimated wait exceeds its queue timeout is rejected on arrival. */
     REFUSAL_ON_ARRIVAL,
-    /** A request that would be late at the best free target waits for a faster one. */
+    /** A request that would be late at the best free target stays queued for a faster one. */
     HELD_FOR_FASTER,
-    /** A line that has not emptied for long keeps requests for a short time only. */
+    /** A backlog shortens the queue timeout. */
     SHORT_STANDING_LINE,
-    /** A wait is predicted by what the own rank and those below got, and not by what all got. */
+    /** Waits are estimated from placements of the same and lower ranks instead of all ranks. */
     PACE_BY_RANK,
-    /** Refused callers come back the later the longer the line has stood. */
+    /** The Retry-After delay grows with the age of the backlog. */
     ADVICE_BY_STANDING,
-    /** A target that speaks with anybody is not ejected for its silence towards one process. */
+    /** A target that answers any process is not ejected for its silence towards one process. */
     SILENCE_TO_ALL,
-    /** Within a rank, those that can still meet their objective go first. */
+    /** Within a rank, requests that can still meet their objective are served first. */
     ON_TIME_FIRST,
-    /** The lower a route's rank, the more slots stay free behind it. */
+    /** The lower the rank of a route, the more slots of a target are reserved for higher ranks. */
     RESERVE_BY_RANK,
-    /** Long answers prefer targets that write fast. */
+    /** Requests with long answers prefer targets that generate tokens fast. */
     ANSWER_LENGTH,
-    /** Targets at which an answer would outlast its deadline are avoided. */
+    /** Targets that would finish an answer after its deadline are avoided. */
     DEADLINE_FIT,
-    /** Prompts prefer targets that read them lately. */
+    /** Requests prefer targets that have read their prompt recently. */
     PROMPT_MEMORY,
-    /** Targets get some requests more than they have slots. */
+    /** Targets receive slightly more requests than they have slots. */
     BEYOND_SLOTS,
-    /** Predictions follow what each target showed. */
+    /** Predictions use the measured speed of each target. */
     LEARNED_SPEED
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/policy/Policy.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/policy/Policy.java
@@ -3,24 +3,24 @@
 import java.util.Set;
 import org.immutables.value.Value;
 
-/** The parts of the policy that are in use. */
+/** Selects the mechanisms of the scheduling policy that are enabled. */
 @Value.Immutable
 public interface Policy {
-    /** Everything is in use. */
+    /** The policy with all mechanisms enabled. */
     Policy ALL_ENABLED = ImmutablePolicy.builder().build();
 
     /**
-     * Returns what is switched off.
+     * Returns the disabled mechanisms.
      *
-     * @return mechanisms; empty in normal service
+     * @return mechanisms; empty in normal operation
      */
     Set<Mechanism> disabled();
 
     /**
-     * Tells whether a mechanism is in use.
+     * Tells whether a mechanism is enabled.
      *
-     * @param mechanism the mechanism
-     * @return false when it is switched off
+     * @param mechanism mechanism
+     * @return false if it is disabled
      */
     default boolean isEnabled(Mechanism mechanism) {
         return !disabled().contains(mechanism);
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/policy/package-info.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Which parts of the policy are in use. */
+/** Mechanisms of the scheduling policy that can be disabled. */
 package org.whinwharf.traffic.policy;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/Backlog.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/Backlog.java
@@ -1,8 +1,8 @@
 package org.whinwharf.traffic.waiting;
 
-/** For how long the line of one rank has not emptied; short gaps between bunches of arrivals do not count. */
+/** Measures how long the queue of one rank has not emptied; short gaps between bursts of arrivals do not count. */
 final class Backlog {
-    /** Time for which a line has to be empty to be worked off: between two bunches of arrivals it empties for less. */
+    /** Time a queue must stay empty to end its backlog; gaps between bursts of arrivals are shorter. */
     private static final long MIN_IDLE_MILLIS = 250;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -11,7 +11,7 @@
     private long sinceMillis;
     private long emptiedAtMillis = NEVER;
 
-    /** Notes that a request waits. */
+    /** Records that a request was queued. */
     void requestQueued(long nowMillis) {
         if (ageMillis(nowMillis) == 0) {
             sinceMillis = nowMillis;
@@ -19,7 +19,7 @@
         empty = false;
     }
 
-    /** Notes that no request waits. */
+    /** Records that the queue is empty. */
     void queueEmptied(long nowMillis) {
         if (!empty) {
             empty = true;
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Returns for how long it has not emptied; 0 when it was worked off. */
+    /** Returns the age of the backlog in milliseconds; 0 if there is none. */
     long ageMillis(long nowMillis) {
         return empty && nowMillis - emptiedAtMillis > MIN_IDLE_MILLIS ? 0 : nowMillis - sinceMillis;
     }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/DispatchResult.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/DispatchResult.java
@@ -1,18 +1,18 @@
 package org.whinwharf.traffic.waiting;
 
-/** What came of trying to send a waiting request. */
+/** Result of an attempt to dispatch a queued request. */
 public enum DispatchResult {
-    /** It no longer waits. */
+    /** The request was dispatched and has left the queue. */
     SENT,
-    /** No target may take it now; what keeps it waiting mostly keeps all with the same needs. */
+    /** No target accepts the request now. Other requests for the same model usually have no target either. */
     NO_TARGET,
-    /** It waits for a better target than those that are free, which says nothing of others. */
+    /** The request waits for a faster target than the free ones. Other requests may still be dispatched. */
     HELD;
 
     /**
-     * Tells whether it still waits.
+     * Tells whether the request is still queued.
      *
-     * @return false once it is sent
+     * @return false if the request was dispatched
      */
     public boolean stillQueued() {
         return this != SENT;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/JoinedRanks.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/JoinedRanks.java
@@ -4,24 +4,27 @@
 import org.whinwharf.traffic.catalog.TierRank;
 
 /**
- * Lets routes of short requests wait in the rank above their own.
+ * Queues the short requests of a route in the next higher rank.
  *
- * <p>Under overload a strict order of routes turns away nearly all requests of the lowest. Where these hold a slot for
- * a tenth of the time of those above them, that gains next to nothing: seven checks have to be refused for one more
- * note. Joined with the rank above, both are turned away in equal shares. Ranks of organisations are never joined.
+ * <p>Under overload, strict priority rejects nearly all requests of the lowest route. If these hold a slot for a tenth
+ * of the time of the requests ranked above them, this frees almost no capacity: seven checks are rejected for one more
+ * note. Queued in the same rank, both are rejected in equal shares. Ranks of organisations are never joined.
  */
 public final class JoinedRanks {
     /**
-     * How many times as long the requests of the rank above hold their slots, at least, for a rank to join it. At four,
-     * as many requests of both ranks give the joined one a fifth of the slots; checks and notes in use differ by eight.
+     * Minimum ratio of slot hold times for a rank to join the one above. At a ratio of four and equal request rates,
+     * the joined rank uses a fifth of the slots. The hold times of notes and checks in production differ by a factor of
+     * eight.
      */
     private static final double MIN_HOLD_TIME_RATIO = 4;
-    /** Weight of the newest request: the memory is about fifty, so that a few odd ones do not part a rank. */
+    /**
+     * Weight of the newest request. Averages span about fifty requests, so that a few outliers do not separate ranks.
+     */
     private static final double SMOOTHING_FACTOR = 0.02;
 
     private final TreeMap<Integer, Averages> averagesByRank = new TreeMap<>();
 
-    /** What the requests of one rank are like. */
+    /** Exponential moving averages over the requests of one rank. */
     private static final class Averages {
         private double holdMillis;
         private double onTimeMillis;
@@ -38,31 +41,33 @@
     }
 
     /**
-     * Where a request waits.
+     * Position of a request in the queue.
      *
-     * @param rank rank in the waiting line
-     * @param onTimeMillis time from its arrival for which it goes before those that are late; the same for all that
-     *     wait together, since under overload those with more time would win every slot
+     * @param rank rank in the queue
+     * @param onTimeMillis time from arrival for which the request counts as on time and precedes late ones. Joined
+     *     ranks share one value, because under overload the requests with more time would take every slot.
      */
     public record Assignment(int rank, long onTimeMillis) {}
 
     /**
-     * Takes a request into the averages of its rank and tells where it waits.
+     * Adds a request to the averages of its rank and assigns it a position in the queue.
      *
-     * @param tierRank joint rank of its organisation and its route
-     * @param holdMillis expected time for which it holds a slot
-     * @param onTimeMillis time from its arrival within which it may still meet its objective
-     * @return its place
+     * @param tierRank combined rank of the organisation and the route
+     * @param holdMillis expected time for which the request holds a slot
+     * @param onTimeMillis time from arrival within which the request can still meet its objective
+     * @return position in the queue
      */
     public Assignment assign(int tierRank, double holdMillis, long onTimeMillis) {
-        averagesByRank.computeIfAbsent(tierRank, rank -> new Averages(holdMillis, onTimeMillis))
+        averagesByRank
+                .computeIfAbsent(tierRank, rank -> new Averages(holdMillis, onTimeMillis))
                 .add(holdMillis, onTimeMillis);
         Integer above = averagesByRank.lowerKey(tierRank);
         if (joins(tierRank, above)) {
             return new Assignment(above, shorterOnTimeMillis(onTimeMillis, above));
         }
         Integer below = averagesByRank.higherKey(tierRank);
-        return new Assignment(tierRank, joins(below, tierRank) ? shorterOnTimeMillis(onTimeMillis, below) : onTimeMillis);
+        return new Assignment(
+                tierRank, joins(below, tierRank) ? shorterOnTimeMillis(onTimeMillis, below) : onTimeMillis);
     }
 
     private boolean joins(Integer rank, Integer above) {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/QueuedRequest.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/QueuedRequest.java
@@ -1,54 +1,55 @@
 package org.whinwharf.traffic.waiting;
 
-/** A request that waits for a target. */
+/** A request that is queued until a target accepts it. */
 public interface QueuedRequest {
     /**
-     * Returns its rank.
+     * Returns the rank of the request.
      *
      * @return rank; 0 is served first
      */
     int tierRank();
 
     /**
-     * Returns until when it may be kept waiting.
+     * Returns the time at which the request is rejected if it is still queued.
      *
-     * @return steady time in milliseconds
+     * @return monotonic time in milliseconds
      */
     long queueTimeoutAtMillis();
 
     /**
-     * Returns until when it may be kept waiting in a line that has not emptied for long.
+     * Returns the earlier time at which the request is rejected if the queue has a backlog.
      *
-     * @return steady time in milliseconds
+     * @return monotonic time in milliseconds
      */
     long backlogTimeoutAtMillis();
 
     /**
-     * Returns until when it may meet its objective.
+     * Returns the time until which the request can still meet its latency objective.
      *
-     * @return steady time in milliseconds
+     * @return monotonic time in milliseconds
      */
     long onTimeUntilMillis();
 
     /**
-     * Returns what it needs of a target; requests with the same needs and rank mostly find one together or not at all.
+     * Returns the model that the request requires. Requests of one rank that require the same model usually either all
+     * find a target or all find none.
      *
-     * @return name of the model; empty when any target will do
+     * @return name of the model; empty if any target is suitable
      */
     String requiredModel();
 
     /**
-     * Tries to send it.
+     * Tries to dispatch the request.
      *
-     * @param nowMillis steady time in milliseconds
-     * @return what came of it
+     * @param nowMillis monotonic time in milliseconds
+     * @return result of the attempt
      */
     DispatchResult tryDispatch(long nowMillis);
 
     /**
-     * Refuses it, since its patience ended.
+     * Rejects the request because its queue timeout has expired or the queue is full.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     void reject(long nowMillis);
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/RequestQueue.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/RequestQueue.java
@@ -10,20 +10,21 @@
 import org.whinwharf.traffic.policy.Policy;
 
 /**
- * Requests of one service that wait here, ordered by rank; within a rank those that can still meet their objective go
- * first, then by arrival. A burst then makes some requests late, not all that come after it.
+ * Queue of the requests of one service, ordered by rank. Within a rank, requests that can still meet their objective
+ * precede late ones, then order of arrival decides. A burst therefore delays some requests instead of all that follow.
  *
- * <p>They wait here and not at an engine, because here a later request of a higher tier still goes first and a caller
- * that leaves costs nothing.
+ * <p>Requests are queued here instead of at an engine, because here a later request of a higher tier is still served
+ * first, and a request whose caller disconnects costs nothing.
  */
 public final class RequestQueue {
     /**
-     * Requests of one rank and the same needs that find no target before the rest of them is left for the next look.
-     * What keeps one from being sent keeps nearly all of them; trying each of several hundred at each freed slot would
-     * take a coordinator's whole processor. Three allow for two that have tried the targets that are free.
+     * Number of requests of one rank and model that find no target before the others are skipped until the next pass.
+     * The obstacle for one request usually applies to all of them, and trying several hundred at each freed slot would
+     * take all of a coordinator's processor time. The limit is three because up to two of them may have already tried
+     * the targets that are free.
      */
     private static final int MAX_FAILURES_PER_MODEL = 3;
-    /** Time without an empty line after which it stands: shorter bursts are worked off late and nobody is refused. */
+    /** Age from which a backlog shortens queue timeouts; shorter bursts are served late and without rejections. */
     private static final long BACKLOG_THRESHOLD_MILLIS = 1_000;
 
     private final TreeMap<Integer, List<QueuedRequest>> requestsByRank = new TreeMap<>();
@@ -33,111 +34,113 @@
     private int size;
 
     /**
-     * Creates an empty line.
+     * Creates an empty queue.
      *
-     * @param mostWaiting requests that may wait; the next one pushes out the last of the lowest tier
+     * @param maxQueued maximum number of requests; beyond it, the last request of the lowest tier is rejected
      */
-    public RequestQueue(int mostWaiting) {
-        this(mostWaiting, Policy.ALL_ENABLED);
+    public RequestQueue(int maxQueued) {
+        this(maxQueued, Policy.ALL_ENABLED);
     }
 
     /**
-     * Creates an empty line that uses a part of the policy.
+     * Creates an empty queue with a given policy.
      *
-     * @param mostWaiting requests that may wait
-     * @param policy what is in use
+     * @param maxQueued maximum number of requests; beyond it, the last request of the lowest tier is rejected
+     * @param policy enabled mechanisms
      */
-    public RequestQueue(int mostWaiting, Policy policy) {
-        this.maxQueued = mostWaiting;
+    public RequestQueue(int maxQueued, Policy policy) {
+        this.maxQueued = maxQueued;
         this.policy = policy;
     }
 
     /**
-     * Returns how many requests wait.
+     * Returns the number of queued requests.
      *
-     * @return requests
+     * @return number of requests of all ranks
      */
     public int size() {
         return size;
     }
 
     /**
-     * Tells whether a request of the same or a higher tier waits.
+     * Tells whether a request of the same or a higher tier is queued.
      *
      * @param tierRank rank
-     * @return true when one would have to go first
+     * @return true if such a request must be served first
      */
     public boolean hasQueuedAhead(int tierRank) {
         return requestsByRank.headMap(tierRank, true).values().stream().anyMatch(list -> !list.isEmpty());
     }
 
     /**
-     * Returns how many requests go before a new one.
+     * Returns the number of queued requests that are served before a new one.
      *
-     * @param tierRank rank of the new one
-     * @param nowMillis steady time in milliseconds
-     * @return those of higher tiers, and those of its own that can still be on time
+     * @param tierRank rank of the new request
+     * @param nowMillis monotonic time in milliseconds
+     * @return number of requests of higher tiers, and of those of the same tier that can still be on time
      */
     public int queuedAhead(int tierRank, long nowMillis) {
         int ahead = 0;
         for (List<QueuedRequest> list : requestsByRank.headMap(tierRank).values()) {
             ahead += list.size();
         }
-        for (QueuedRequest waiter : requestsByRank.getOrDefault(tierRank, List.of())) {
-            ahead += nowMillis <= waiter.onTimeUntilMillis() ? 1 : 0;
+        for (QueuedRequest request : requestsByRank.getOrDefault(tierRank, List.of())) {
+            ahead += nowMillis <= request.onTimeUntilMillis() ? 1 : 0;
         }
         return ahead;
     }
 
     /**
-     * Tells for how long requests of a rank have waited without a pause.
+     * Returns how long the queue of a rank has not emptied.
      *
      * @param tierRank rank
-     * @param nowMillis steady time in milliseconds
-     * @return time in milliseconds; 0 when the line was worked off a moment ago
+     * @param nowMillis monotonic time in milliseconds
+     * @return age of the backlog in milliseconds; 0 if there is none
      */
     public long backlogAgeMillis(int tierRank, long nowMillis) {
-        Backlog standing = backlogsByRank.get(tierRank);
-        return standing == null ? 0 : standing.ageMillis(nowMillis);
+        Backlog backlog = backlogsByRank.get(tierRank);
+        return backlog == null ? 0 : backlog.ageMillis(nowMillis);
     }
 
     /**
-     * Tells for how long requests of any rank have waited without a pause.
+     * Returns how long the queue of any rank has not emptied.
      *
-     * @param nowMillis steady time in milliseconds
-     * @return time in milliseconds; 0 when all lines were worked off a moment ago
+     * @param nowMillis monotonic time in milliseconds
+     * @return age of the oldest backlog in milliseconds; 0 if there is none
      */
     public long backlogAgeMillis(long nowMillis) {
         return backlogsByRank.values().stream()
-                .mapToLong(standing -> standing.ageMillis(nowMillis))
+                .mapToLong(backlog -> backlog.ageMillis(nowMillis))
                 .max()
                 .orElse(0);
     }
 
     /**
-     * Returns until when a request is kept waiting.
+     * Returns the time at which a request is rejected if no target accepts it. A backlog shortens the queue timeout.
      *
-     * @param waiter the request
-     * @param nowMillis steady time in milliseconds
-     * @return steady time in milliseconds
+     * @param request request
+     * @param nowMillis monotonic time in milliseconds
+     * @return monotonic time in milliseconds
      */
-    public long effectiveTimeoutAtMillis(QueuedRequest waiter, long nowMillis) {
+    public long effectiveTimeoutAtMillis(QueuedRequest request, long nowMillis) {
         return policy.isEnabled(Mechanism.SHORT_STANDING_LINE)
-                        && backlogAgeMillis(waiter.tierRank(), nowMillis) >= BACKLOG_THRESHOLD_MILLIS
-                ? Math.min(waiter.queueTimeoutAtMillis(), waiter.backlogTimeoutAtMillis())
-                : waiter.queueTimeoutAtMillis();
+                        && backlogAgeMillis(request.tierRank(), nowMillis) >= BACKLOG_THRESHOLD_MILLIS
+                ? Math.min(request.queueTimeoutAtMillis(), request.backlogTimeoutAtMillis())
+                : request.queueTimeoutAtMillis();
     }
 
     /**
-     * Adds a request.
+     * Adds a request. If the queue is full, rejects the last request of the lowest tier.
      *
-     * @param waiter the request
-     * @param nowMillis steady time in milliseconds
+     * @param request request
+     * @param nowMillis monotonic time in milliseconds
      */
-    public void add(QueuedRequest waiter, long nowMillis) {
-        requestsByRank.computeIfAbsent(waiter.tierRank(), rank -> new ArrayList<>()).add(waiter);
+    public void add(QueuedRequest request, long nowMillis) {
+        requestsByRank
+                .computeIfAbsent(request.tierRank(), rank -> new ArrayList<>())
+                .add(request);
         backlogsByRank
-                .computeIfAbsent(waiter.tierRank(), rank -> new Backlog())
+                .computeIfAbsent(request.tierRank(), rank -> new Backlog())
                 .requestQueued(nowMillis);
         size++;
         if (size > maxQueued) {
@@ -146,56 +149,56 @@
     }
 
     /**
-     * Takes out a request whose caller has left.
+     * Removes a request whose caller has disconnected, without rejecting it.
      *
-     * @param waiter the request
+     * @param request request
      */
-    public void remove(QueuedRequest waiter) {
-        List<QueuedRequest> list = requestsByRank.get(waiter.tierRank());
-        if (list != null && list.remove(waiter)) {
+    public void remove(QueuedRequest request) {
+        List<QueuedRequest> list = requestsByRank.get(request.tierRank());
+        if (list != null && list.remove(request)) {
             size--;
         }
     }
 
     /**
-     * Sends what can be sent and refuses what has waited long enough.
+     * Dispatches the requests that targets accept and rejects those whose timeout has expired.
      *
-     * <p>A request that finds no target does not hold back those of lower rank that may go elsewhere: their own bound
-     * on occupancy keeps the last slots free.
+     * <p>A request that finds no target does not block requests of lower rank that other targets accept. The occupancy
+     * limit of the lower rank keeps the last slots free.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void advance(long nowMillis) {
         for (Integer rank : List.copyOf(requestsByRank.keySet())) {
             List<QueuedRequest> current = requestsByRank.put(rank, new ArrayList<>());
-            List<QueuedRequest> staying = new ArrayList<>();
+            List<QueuedRequest> remaining = new ArrayList<>();
             size -= current.size();
             if (policy.isEnabled(Mechanism.ON_TIME_FIRST)) {
-                current.sort(Comparator.comparing((QueuedRequest waiter) -> nowMillis > waiter.onTimeUntilMillis()));
+                current.sort(Comparator.comparing((QueuedRequest request) -> nowMillis > request.onTimeUntilMillis()));
             }
-            // Waiters may add themselves again while they are tried, so the list under way is taken out first.
-            Map<String, Integer> failures = new HashMap<>();
-            for (QueuedRequest waiter : current) {
-                if (nowMillis >= waiter.queueTimeoutAtMillis()) {
-                    waiter.reject(nowMillis);
+            // A request may queue itself again during its dispatch, so the current list was detached above.
+            Map<String, Integer> failuresByModel = new HashMap<>();
+            for (QueuedRequest request : current) {
+                if (nowMillis >= request.queueTimeoutAtMillis()) {
+                    request.reject(nowMillis);
                     continue;
                 }
-                boolean tried = failures.getOrDefault(waiter.requiredModel(), 0) < MAX_FAILURES_PER_MODEL;
-                DispatchResult attempt = tried ? waiter.tryDispatch(nowMillis) : DispatchResult.NO_TARGET;
-                if (tried && attempt == DispatchResult.NO_TARGET) {
-                    failures.merge(waiter.requiredModel(), 1, Integer::sum);
+                boolean tried = failuresByModel.getOrDefault(request.requiredModel(), 0) < MAX_FAILURES_PER_MODEL;
+                DispatchResult result = tried ? request.tryDispatch(nowMillis) : DispatchResult.NO_TARGET;
+                if (tried && result == DispatchResult.NO_TARGET) {
+                    failuresByModel.merge(request.requiredModel(), 1, Integer::sum);
                 }
-                if (attempt == DispatchResult.NO_TARGET && nowMillis >= effectiveTimeoutAtMillis(waiter, nowMillis)) {
-                    waiter.reject(nowMillis);
-                } else if (attempt.stillQueued()) {
-                    staying.add(waiter);
+                if (result == DispatchResult.NO_TARGET && nowMillis >= effectiveTimeoutAtMillis(request, nowMillis)) {
+                    request.reject(nowMillis);
+                } else if (result.stillQueued()) {
+                    remaining.add(request);
                 }
             }
-            requestsByRank.get(rank).addAll(0, staying);
+            requestsByRank.get(rank).addAll(0, remaining);
             if (requestsByRank.get(rank).isEmpty() && backlogsByRank.containsKey(rank)) {
                 backlogsByRank.get(rank).queueEmptied(nowMillis);
             }
-            size += staying.size();
+            size += remaining.size();
         }
     }
 
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/WaitEstimator.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/WaitEstimator.java
@@ -4,9 +4,9 @@
 import java.util.Deque;
 import java.util.TreeMap;
 
-/** How many requests found a target within the last second, by rank. */
+/** Estimates queue waits from the placements of the last second, by rank. */
 public final class WaitEstimator {
-    /** Time looked back on: long enough for a steady figure, short enough to show the loss of targets. */
+    /** Window over which placements are counted: long enough for a stable rate, short enough to show lost targets. */
     private static final long WINDOW_MILLIS = 1_000;
 
     private final Deque<RecentPlacement> recentPlacements = new ArrayDeque<>();
@@ -15,10 +15,10 @@
     private record RecentPlacement(int rank, long atMillis) {}
 
     /**
-     * Notes a request that found a target.
+     * Records that a request was placed at a target.
      *
-     * @param rank its rank in the waiting line
-     * @param nowMillis steady time in milliseconds
+     * @param rank rank of the request in the queue
+     * @param nowMillis monotonic time in milliseconds
      */
     public void recordPlacement(int rank, long nowMillis) {
         recentPlacements.addLast(new RecentPlacement(rank, nowMillis));
@@ -27,16 +27,16 @@
     }
 
     /**
-     * Predicts how long a request waits. What higher ranks got in the last second they will take in the next one too,
-     * so only what its own rank and those below got counts: by the pace of all, a line would look short that hardly
-     * moves, and its requests would be kept for nothing.
+     * Estimates how long a request waits. Only placements of its own rank and of lower ranks count, because higher
+     * ranks will use about as many slots in the next second as in the last. With the placements of all ranks, a queue
+     * that hardly drains would seem fast, and its requests would wait only to be rejected.
      *
-     * @param ahead requests that go before it
-     * @param rank its rank
-     * @param nowMillis steady time in milliseconds
-     * @return time in milliseconds; 0 when nothing at all was placed lately, so that nothing is known
+     * @param queuedAhead number of requests that are served before it
+     * @param rank rank of the request
+     * @param nowMillis monotonic time in milliseconds
+     * @return wait in milliseconds; 0 if no request was placed in the window, which allows no estimate
      */
-    public long estimatedWaitMillis(int ahead, int rank, long nowMillis) {
+    public long estimatedWaitMillis(int queuedAhead, int rank, long nowMillis) {
         expire(nowMillis);
         if (recentPlacements.isEmpty()) {
             return 0;
@@ -44,11 +44,12 @@
         int placed = countsByRank.tailMap(rank, true).values().stream()
                 .mapToInt(Integer::intValue)
                 .sum();
-        return ahead * WINDOW_MILLIS / Math.max(1, placed);
+        return queuedAhead * WINDOW_MILLIS / Math.max(1, placed);
     }
 
     private void expire(long nowMillis) {
-        while (!recentPlacements.isEmpty() && nowMillis - recentPlacements.peekFirst().atMillis() > WINDOW_MILLIS) {
+        while (!recentPlacements.isEmpty()
+                && nowMillis - recentPlacements.peekFirst().atMillis() > WINDOW_MILLIS) {
             countsByRank.merge(recentPlacements.removeFirst().rank(), -1, Integer::sum);
         }
     }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/package-info.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/package-info.java
@@ -1,2 +1,2 @@
-/** Which requests wait, in which order, for how long, and which are refused. */
+/** Queues of requests that wait for a target: order, queue timeouts and rejection. */
 package org.whinwharf.traffic.waiting;
