--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/Coordinator.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/Coordinator.java
@@ -7,53 +7,55 @@
 /**
  * Places the requests of services for all processes of the fleet.
  *
- * <p>Sixty processes that each place a few requests a second on their own counts pick the same engine together, read
- * each prompt on many engines, and learn an engine's speed too late. One that places all of them sees every request at
- * every engine, keeps one waiting line by tier, and remembers where each prompt was read. It holds nothing that must
- * not be lost: another process takes over with what the others tell it they have under way.
+ * <p>If each of sixty processes places a few requests per second based only on its own, they select the same engine
+ * together, read each prompt on many engines, and learn the speed of an engine too late. A single coordinator knows the
+ * requests in flight at each engine, keeps one queue ordered by tier, and records where each prompt was read. Its state
+ * is expendable: another process takes over with the requests that all processes report as in flight.
  */
 public final class Coordinator {
     private final CoordinatorDependencies dependencies;
     private final Map<String, ServiceCoordinator> coordinatorsByService = new HashMap<>();
 
     /**
-     * Creates a coordinator that knows of no request.
+     * Creates a coordinator without any request.
      *
-     * @param parts what it decides with, and who takes its decisions
+     * @param dependencies state that decisions are based on, and listeners
      */
-    public Coordinator(CoordinatorDependencies parts) {
-        this.dependencies = parts;
+    public Coordinator(CoordinatorDependencies dependencies) {
+        this.dependencies = dependencies;
     }
 
     /**
-     * Takes an ask; the same ask again gets the same decision again.
+     * Processes a placement request. A repeated placement request gets the same decision again.
      *
-     * @param ask the ask
+     * @param request placement request
      * @param nowMillis monotonic time in milliseconds
      */
-    public void requestPlacement(PlacementRequest ask, long nowMillis) {
-        serviceCoordinator(ask.demand().service()).requestPlacement(ask, nowMillis);
+    public void requestPlacement(PlacementRequest request, long nowMillis) {
+        serviceCoordinator(request.demand().service()).requestPlacement(request, nowMillis);
     }
 
     /**
-     * Takes what became of a request.
+     * Processes a report on the progress of a request.
      *
-     * @param process who sent it
-     * @param id id of its ask
-     * @param event what happened
-     * @param tookMillis time to the first event, or from the first event to the last; 0 when it says nothing
+     * @param process name of the process that sent the request
+     * @param id id of the placement request
+     * @param event event reported
+     * @param tookMillis time to the first event, or from the first to the last event; 0 if not known
      * @param nowMillis monotonic time in milliseconds
      */
     public void reportProgress(String process, long id, RunEvent event, long tookMillis, long nowMillis) {
-        coordinatorsByService.values().forEach(desk -> desk.reportProgress(process, id, event, tookMillis, nowMillis));
+        coordinatorsByService
+                .values()
+                .forEach(coordinator -> coordinator.reportProgress(process, id, event, tookMillis, nowMillis));
     }
 
     /**
-     * Takes everything that a process has under way at the targets of a service.
+     * Processes a report of all requests that a process has in flight at the targets of a service.
      *
-     * @param process who says it
+     * @param process name of the reporting process
      * @param service name of the service
-     * @param runs its requests, by the ids of their asks
+     * @param runs requests in flight, by the ids of their placement requests
      * @param nowMillis monotonic time in milliseconds
      */
     public void reportInFlight(String process, String service, Map<Long, RunningRequests.Run> runs, long nowMillis) {
@@ -61,25 +63,25 @@
     }
 
     /**
-     * Sends and refuses what waits, and drops the requests of processes that fell silent.
+     * Places and rejects queued requests, and expires the requests of processes that have stopped reporting.
      *
      * @param nowMillis monotonic time in milliseconds
      */
     public void advance(long nowMillis) {
-        coordinatorsByService.values().forEach(desk -> desk.advance(nowMillis));
+        coordinatorsByService.values().forEach(coordinator -> coordinator.advance(nowMillis));
     }
 
     /**
-     * Returns how many requests wait.
+     * Returns the number of queued requests.
      *
-     * @return requests of all services
+     * @return number of requests of all services
      */
     public int queuedRequests() {
-        int waiting = 0;
-        for (ServiceCoordinator desk : coordinatorsByService.values()) {
-            waiting += desk.queuedRequests();
+        int queued = 0;
+        for (ServiceCoordinator coordinator : coordinatorsByService.values()) {
+            queued += coordinator.queuedRequests();
         }
-        return waiting;
+        return queued;
     }
 
     private ServiceCoordinator serviceCoordinator(String service) {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/CoordinatorDependencies.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/CoordinatorDependencies.java
@@ -12,76 +12,77 @@
 import org.whinwharf.traffic.target.PromptCache;
 import org.whinwharf.traffic.target.TargetState;
 
-/** What a coordinator decides with, and who takes its decisions. */
+/** The state that a coordinator bases its decisions on, and the listeners that it notifies. */
 @Value.Immutable
 public interface CoordinatorDependencies {
     /**
-     * Returns the process that coordinates; what its own requests show reaches the targets without the coordinator.
+     * Returns the name of this process. Its own requests update the state of targets directly, so the coordinator
+     * ignores what they report of a target.
      *
      * @return name of the process
      */
     String localName();
 
     /**
-     * Returns how targets are chosen.
+     * Returns the target selector.
      *
-     * @return placement, with the shares of cold targets that a coordinator may use
+     * @return selector, with the shares of cold targets that a coordinator may use
      */
     TargetSelector targetSelector();
 
     /**
-     * Returns where prompts were read.
+     * Returns the record of the targets that have read each prompt.
      *
-     * @return memory that the placement uses
+     * @return prompt cache that the target selector uses
      */
     PromptCache promptCache();
 
     /**
-     * Returns what is known of targets.
+     * Returns the states of targets.
      *
-     * @return states of the targets of a service, by its name
+     * @return function from the name of a service to the states of its targets
      */
     Function<String, Collection<TargetState>> targets();
 
     /**
-     * Returns the data centres that must get nothing new.
+     * Returns the data centres that must not receive new requests.
      *
-     * @return their names, at any time
+     * @return supplier of their current names
      */
     Supplier<Set<String>> evacuatedDataCentres();
 
     /**
      * Returns the quotas of all organisations.
      *
-     * @return ledger
+     * @return quota ledger
      */
     QuotaLedger quotas();
 
     /**
-     * Returns who takes what processes saw of targets.
+     * Returns the listener for request outcomes at targets.
      *
-     * @return taker of reports
+     * @return listener
      */
     TargetOutcomeListener targetOutcomeListener();
 
     /**
-     * Returns who takes decisions.
+     * Returns the listener for decisions on placement requests.
      *
-     * @return outbox
+     * @return listener
      */
     DecisionListener decisionListener();
 
     /**
-     * Returns who takes what is under way at targets.
+     * Returns the listener for changes of the load in flight at targets.
      *
-     * @return taker of loads
+     * @return listener
      */
     LoadListener loadListener();
 
     /**
-     * Returns the random numbers that spread the advice to callers.
+     * Returns the source of the jitter in Retry-After delays.
      *
-     * @return numbers from 0 to 1
+     * @return supplier of random numbers from 0 to 1
      */
     @Value.Default
     default DoubleSupplier random() {
@@ -89,9 +90,9 @@
     }
 
     /**
-     * Returns which parts of the policy are in use.
+     * Returns the scheduling policy.
      *
-     * @return the whole policy unless something is switched off
+     * @return policy; all mechanisms are enabled by default
      */
     @Value.Default
     default Policy policy() {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/CoordinatorRanking.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/CoordinatorRanking.java
@@ -9,24 +9,25 @@
 import org.whinwharf.wire.fleet.MemberReport;
 
 /**
- * Ranks the processes that may coordinate a service; all that know the same members rank alike, without a word.
+ * Ranks the processes that may coordinate a service. Processes with the same membership view compute the same ranking
+ * without communication.
  *
- * <p>Processes that have run for a while go first, since one that was just started knows nothing of the load; then
- * those on hosts with more processor time, which answer sooner; then rendezvous hashing spreads the services. Two
- * processes that rank differently for a moment make two coordinators. That costs queues at targets and breaks nothing,
- * since bounds that must hold are kept by every sender.
+ * <p>Processes that have run for a while rank first, because a process that has just started does not know the load.
+ * Next come processes on hosts with more processor time, which answer sooner, then rendezvous hashing distributes the
+ * services. Two processes that rank differently for a moment use two coordinators. This causes queues at targets but no
+ * errors, because every sender enforces the limits that must hold.
  *
- * <p>How long a process has run is told by its signs of life, which reach everyone within a second or two. Its reports
- * reach each other process of a large fleet only every ten seconds or so; ranked by what they say, a fleet that had
- * just been restarted fell apart into dozens of coordinators, each of which filled every engine.
+ * <p>The age of a process is taken from its heartbeats, which reach all processes within one or two seconds. In a large
+ * fleet, member reports reach each process only about every ten seconds. Ranked by member reports, a restarted fleet
+ * split into dozens of coordinators, each of which filled every engine.
  */
 public final class CoordinatorRanking {
-    /** Signs of life after which a process knows the fleet and its load: five seconds' worth. */
+    /** Number of heartbeats after which a process knows the fleet and its load: five seconds. */
     private static final long SETTLED_HEARTBEATS = 33;
     /**
-     * Signs of life by which a process must be behind the oldest to count as just started: three seconds' worth, more
-     * than news takes. Without it, a fleet whose processes all started together would change its coordinator with each
-     * one that settles.
+     * Minimum number of heartbeats by which a process must lag the oldest one to count as just started: three seconds,
+     * longer than heartbeats take to propagate. Without this rule, a fleet whose processes all start together would
+     * change its coordinator with each process that settles.
      */
     private static final long MIN_LAG_HEARTBEATS = 20;
 
@@ -36,20 +37,21 @@
      * Ranks processes for a service.
      *
      * @param service name of the service
-     * @param serving the processes that serve
-     * @return reports, the first coordinates and each stands by for those before it
+     * @param serving processes in the serving phase
+     * @return member reports in order of rank; the first process coordinates, each other one is a standby for those
+     *     before it
      */
     public static List<MemberReport> rank(String service, Collection<Member> serving) {
         long oldest = 0;
         for (Member member : serving) {
             oldest = Math.max(oldest, member.beatSequence());
         }
-        long settledBeats = Math.min(SETTLED_HEARTBEATS, oldest - MIN_LAG_HEARTBEATS);
+        long settledHeartbeats = Math.min(SETTLED_HEARTBEATS, oldest - MIN_LAG_HEARTBEATS);
         List<Ranked> ranked = new ArrayList<>(serving.size());
         for (Member member : serving) {
             MemberReport report = member.report();
             long weight = Rendezvous.weight(report.getName(), service);
-            ranked.add(new Ranked(report, member.beatSequence() < settledBeats, weight));
+            ranked.add(new Ranked(report, member.beatSequence() < settledHeartbeats, weight));
         }
         Collections.sort(ranked);
         List<MemberReport> reports = new ArrayList<>(ranked.size());
@@ -59,7 +61,7 @@
         return reports;
     }
 
-    /** A process with what it is ranked by, so that a sort of a large fleet weighs each process once. */
+    /** A process with its sort key, so that sorting a large fleet computes the weight of each process only once. */
     private record Ranked(MemberReport report, boolean unsettled, long weight) implements Comparable<Ranked> {
         @Override
         public int compareTo(Ranked other) {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/DecisionListener.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/DecisionListener.java
@@ -2,36 +2,36 @@
 
 import org.whinwharf.traffic.placement.Candidate;
 
-/** Takes what a coordinator decides. */
+/** Receives the decisions of a coordinator on placement requests. */
 public interface DecisionListener {
     /**
-     * Takes a grant: the asker may send its request to the target now.
+     * Handles a grant. The requester may send the request to the target now.
      *
-     * @param ask the ask
-     * @param candidate the target
+     * @param request placement request
+     * @param candidate selected target
      */
-    void granted(PlacementRequest ask, Candidate candidate);
+    void granted(PlacementRequest request, Candidate candidate);
 
     /**
-     * Takes that a request waits for a target.
+     * Handles that a request is queued until a target accepts it.
      *
-     * @param ask the ask
+     * @param request placement request
      */
-    void queued(PlacementRequest ask);
+    void queued(PlacementRequest request);
 
     /**
-     * Takes that a request found no target in time, or made way for one of a higher tier.
+     * Handles the rejection of a request that found no target in time or was evicted by a request of a higher tier.
      *
-     * @param ask the ask
-     * @param grounds why, and when its caller should come back
+     * @param request placement request
+     * @param details reason and Retry-After delay
      */
-    void shed(PlacementRequest ask, RejectionDetails grounds);
+    void shed(PlacementRequest request, RejectionDetails details);
 
     /**
-     * Takes that a request is over its organisation's quota.
+     * Handles the rejection of a request that exceeds the quota of its organisation.
      *
-     * @param ask the ask
-     * @param grounds why, and when its caller should come back
+     * @param request placement request
+     * @param details reason and Retry-After delay
      */
-    void overQuota(PlacementRequest ask, RejectionDetails grounds);
+    void overQuota(PlacementRequest request, RejectionDetails details);
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/LoadListener.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/LoadListener.java
@@ -1,13 +1,13 @@
 package org.whinwharf.traffic.coordination;
 
-/** Takes changes of what is under way at targets. */
+/** Receives changes of the load in flight at targets. */
 @FunctionalInterface
 public interface LoadListener {
     /**
-     * Takes a change.
+     * Handles a changed load.
      *
      * @param targetId id of the target
-     * @param load everything under way there
+     * @param load all requests in flight at the target
      */
     void changed(String targetId, RunningRequests.Load load);
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/PlacementRequest.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/PlacementRequest.java
@@ -4,62 +4,62 @@
 import org.immutables.value.Value;
 import org.whinwharf.traffic.placement.Demand;
 
-/** What a process asks of the coordinator for one request. */
+/** A process's request to the coordinator to place one request at a target. */
 @Value.Immutable
 public interface PlacementRequest {
     /**
-     * Returns who asks.
+     * Returns the process that requests the placement.
      *
      * @return name of the process
      */
     String requester();
 
     /**
-     * Returns the id of the ask.
+     * Returns the id of the placement request.
      *
-     * @return id, unique among the asks of its process
+     * @return id, unique among the placement requests of its process
      */
     long id();
 
     /**
-     * Returns what the request asks of a target; the time left is that at the moment of the ask.
+     * Returns the requirements of the request. Its remaining time is that at the time of the placement request.
      *
      * @return demand
      */
     Demand demand();
 
     /**
-     * Returns when the request's final answer is due.
+     * Returns the deadline for the complete answer.
      *
      * @return monotonic time of the coordinator in milliseconds
      */
     long deadlineAtMillis();
 
     /**
-     * Returns until when the request may wait.
+     * Returns the time at which the request is rejected if it is still queued.
      *
      * @return monotonic time of the coordinator in milliseconds
      */
     long queueTimeoutAtMillis();
 
     /**
-     * Returns until when the request may meet its objective.
+     * Returns the time until which the request can still meet its latency objective.
      *
      * @return monotonic time of the coordinator in milliseconds
      */
     long onTimeUntilMillis();
 
     /**
-     * Returns whose quota the request uses.
+     * Returns the organisation whose quota the request uses.
      *
-     * @return name of the organisation; empty when it was asked for before or there is none
+     * @return name of the organisation; empty if there is none or the quota was already charged
      */
     Optional<String> organisation();
 
     /**
-     * Returns what the request uses of the quota.
+     * Returns the amount that the request uses of the quota.
      *
-     * @return use in the quota's unit
+     * @return amount in tokens
      */
     @Value.Default
     default long quotaTokens() {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/RejectionDetails.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/RejectionDetails.java
@@ -1,13 +1,13 @@
 package org.whinwharf.traffic.coordination;
 
 /**
- * Why a coordinator refused a request, for whoever has to explain it later.
+ * The state of queue and quota that a coordinator based a rejection on, for logs and explanations.
  *
- * @param retryAfterMillis time after which its caller should come back
- * @param queuedAhead requests that went before it in the line
- * @param estimatedWaitMillis predicted wait behind them
- * @param backlogAgeMillis time for which the line of its rank had not emptied
- * @param quotaLevelTokens what was left of the organisation's quota, below 0 a debt; 0 when the quota did not decide
+ * @param retryAfterMillis delay after which the caller should retry
+ * @param queuedAhead number of queued requests that would have been served before it
+ * @param estimatedWaitMillis estimated wait behind these requests
+ * @param backlogAgeMillis time for which the queue of the request's rank had not emptied
+ * @param quotaLevelTokens remaining quota of the organisation, negative if overdrawn; 0 if the quota was not the reason
  */
 public record RejectionDetails(
         long retryAfterMillis,
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/RunningRequests.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/RunningRequests.java
@@ -8,16 +8,16 @@
 import java.util.Optional;
 
 /**
- * What all processes have under way at the targets of one service, as their coordinator knows it.
+ * The requests that all processes have in flight at the targets of one service, as known to the coordinator.
  *
- * <p>Words of an end get lost, and processes die with requests under way. Counted for ever, these would close a target
- * bit by bit. So each process says now and then all it has under way, which replaces what was known of it, and a
- * process that says nothing for a while has nothing under way.
+ * <p>Reports that a request has ended can be lost, and processes crash with requests in flight. If such requests were
+ * counted for ever, they would gradually use up the slots of a target. Each process therefore reports all its requests
+ * in flight at intervals, which replaces the known ones, and the requests of a process that stops reporting expire.
  */
 public final class RunningRequests {
-    /** Silence of a process after which its requests are dropped: three of its lists and a half. */
+    /** Time without a report after which the requests of a process expire: three and a half report intervals. */
     private static final long REPORT_TIMEOUT_MILLIS = 3_500;
-    /** Age up to which a grant may not have reached its process when that made its list: a resent datagram's way. */
+    /** Age up to which a report may not include a granted request yet: the time to deliver a resent datagram. */
     private static final long MAX_GRANT_DELIVERY_MILLIS = 400;
 
     private final Map<String, Map<Long, Run>> runsByProcess = new HashMap<>();
@@ -27,39 +27,39 @@
     private final LoadListener listener;
 
     /**
-     * Creates an empty count.
+     * Creates an instance without requests.
      *
-     * @param listener hears of each change
+     * @param listener listener for each change of a load
      */
     public RunningRequests(LoadListener listener) {
         this.listener = listener;
     }
 
     /**
-     * One request under way.
+     * A request in flight.
      *
-     * @param targetId id of its target
-     * @param prefillTokens prompt tokens the target has yet to read
+     * @param targetId id of the target
+     * @param prefillTokens prompt tokens that the target has yet to read
      */
     public record Run(String targetId, long prefillTokens) {}
 
     /**
-     * All requests under way at one target.
+     * The load of all requests in flight at one target.
      *
-     * @param running requests
-     * @param prefillTokens prompt tokens the target has yet to read
+     * @param running number of requests
+     * @param prefillTokens prompt tokens that the target has yet to read
      */
     public record Load(int running, long prefillTokens) {
-        /** Nothing under way. */
+        /** Load of a target without requests. */
         public static final Load NONE = new Load(0, 0);
     }
 
     /**
-     * Notes a grant.
+     * Records a grant.
      *
-     * @param process who got it
-     * @param id id of the ask
-     * @param run what was granted
+     * @param process name of the requesting process
+     * @param id id of the placement request
+     * @param run granted request
      * @param nowMillis monotonic time in milliseconds
      */
     public void recordGrant(String process, long id, Run run, long nowMillis) {
@@ -69,22 +69,22 @@
     }
 
     /**
-     * Returns the grant of an ask that came before.
+     * Returns a granted request that is still in flight.
      *
-     * @param process who asks
-     * @param id id of the ask
-     * @return what was granted, while it is under way
+     * @param process name of the requesting process
+     * @param id id of the placement request
+     * @return request; empty if it is not known or has ended
      */
     public Optional<Run> find(String process, long id) {
         return Optional.ofNullable(runsByProcess.getOrDefault(process, Map.of()).get(id));
     }
 
     /**
-     * Notes that a target has read a prompt.
+     * Records that a target has read the prompt of a request.
      *
-     * @param process who sent it
-     * @param id id of the ask
-     * @return the request as it was before; empty when it is not known
+     * @param process name of the process that sent the request
+     * @param id id of the placement request
+     * @return previous state of the request; empty if it is not known
      */
     public Optional<Run> recordPrefill(String process, long id) {
         Optional<Run> run = find(process, id);
@@ -93,11 +93,11 @@
     }
 
     /**
-     * Notes the end of a request.
+     * Records the end of a request.
      *
-     * @param process who sent it
-     * @param id id of the ask
-     * @return the request as it was before; empty when it is not known
+     * @param process name of the process that sent the request
+     * @param id id of the placement request
+     * @return previous state of the request; empty if it is not known
      */
     public Optional<Run> recordEnd(String process, long id) {
         Map<Long, Run> runs = runsByProcess.get(process);
@@ -109,10 +109,11 @@
     }
 
     /**
-     * Takes all that a process has under way.
+     * Replaces the requests of a process with those that it reports. Keeps recent grants that the report may not
+     * include yet.
      *
-     * @param process who says it
-     * @param runs its requests, by id
+     * @param process name of the reporting process
+     * @param runs requests in flight, by the ids of their placement requests
      * @param nowMillis monotonic time in milliseconds
      */
     public void reconcile(String process, Map<Long, Run> runs, long nowMillis) {
@@ -128,20 +129,20 @@
     }
 
     /**
-     * Drops the requests of processes that have been silent for long.
+     * Removes the requests of processes that have stopped reporting.
      *
      * @param nowMillis monotonic time in milliseconds
      * @return names of these processes
      */
     public List<String> expireSilent(long nowMillis) {
-        List<String> dropped = new ArrayList<>();
+        List<String> expired = new ArrayList<>();
         for (Iterator<Map.Entry<String, Long>> all =
                         lastReportAtMillis.entrySet().iterator();
                 all.hasNext(); ) {
             Map.Entry<String, Long> process = all.next();
             if (nowMillis - process.getValue() > REPORT_TIMEOUT_MILLIS) {
                 all.remove();
-                dropped.add(process.getKey());
+                expired.add(process.getKey());
                 grantedAtMillis.remove(process.getKey());
                 Map<Long, Run> runs = runsByProcess.remove(process.getKey());
                 if (runs != null) {
@@ -149,14 +150,14 @@
                 }
             }
         }
-        return dropped;
+        return expired;
     }
 
     /**
-     * Returns what is under way at a target.
+     * Returns the load in flight at a target.
      *
      * @param targetId id of the target
-     * @return requests and prompt tokens
+     * @return number of requests and prompt tokens
      */
     public Load load(String targetId) {
         return loadsByTarget.getOrDefault(targetId, Load.NONE);
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/ServiceCoordinator.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/ServiceCoordinator.java
@@ -19,15 +19,15 @@
 import org.whinwharf.traffic.waiting.WaitEstimator;
 import org.whinwharf.wire.fleet.RunEvent;
 
-/** The waiting line, the grants and the requests under way of one service, as its coordinator knows them. */
+/** Coordinates the requests of one service: holds its queue, its grants and its requests in flight. */
 final class ServiceCoordinator {
-    /** Requests that wait for one service. At the rate of a fleet of ninety, more would outwait their patience. */
+    /** Queue limit. At the request rate of a fleet of ninety processes, further requests would reach their timeout. */
     private static final int MAX_QUEUED = 1_024;
-    /** Requests ahead below which none is refused on arrival: the pace of so few says little. */
+    /** Number of requests ahead below which none is rejected on arrival, because so few allow no useful estimate. */
     private static final int MIN_AHEAD_FOR_REJECTION = 4;
     /**
-     * Time since a target last began or ended an answer, for whomever, within which it does not hang. A full engine
-     * ends some ten answers in it, a slow one three.
+     * Time after the last begin or end of an answer, for any process, during which a target does not count as hung. A
+     * full engine completes about ten answers in this time, a slow one three.
      */
     private static final long TARGET_ACTIVITY_TIMEOUT_MILLIS = 1_000;
 
@@ -45,45 +45,45 @@
 
     private record Grant(PlacementRequest request, Candidate candidate) {}
 
-    ServiceCoordinator(CoordinatorDependencies parts, String service) {
-        this.dependencies = parts;
+    ServiceCoordinator(CoordinatorDependencies dependencies, String service) {
+        this.dependencies = dependencies;
         this.service = service;
-        queue = new RequestQueue(MAX_QUEUED, parts.policy());
-        running = new RunningRequests(parts.loadListener());
+        queue = new RequestQueue(MAX_QUEUED, dependencies.policy());
+        running = new RunningRequests(dependencies.loadListener());
     }
 
-    /** Returns how many requests wait. */
+    /** Returns the number of queued requests. */
     int queuedRequests() {
         return queue.size();
     }
 
-    /** Sends and refuses what waits, and drops the requests of processes that fell silent. */
+    /** Places and rejects queued requests, and expires the requests of processes that have stopped reporting. */
     void advance(long nowMillis) {
         running.expireSilent(nowMillis).forEach(this::removeEndedGrants);
         lastActivityAtMillis.values().removeIf(atMillis -> nowMillis - atMillis > TARGET_ACTIVITY_TIMEOUT_MILLIS);
         queue.advance(nowMillis);
     }
 
-    void requestPlacement(PlacementRequest ask, long nowMillis) {
-        RequestKey key = new RequestKey(ask.requester(), ask.id());
+    void requestPlacement(PlacementRequest request, long nowMillis) {
+        RequestKey key = new RequestKey(request.requester(), request.id());
         Grant grant = grants.get(key);
         if (grant != null) {
-            dependencies.decisionListener().granted(ask, grant.candidate());
+            dependencies.decisionListener().granted(request, grant.candidate());
             return;
         }
         if (queuedRequests.containsKey(key)) {
-            dependencies.decisionListener().queued(ask);
+            dependencies.decisionListener().queued(request);
             return;
         }
-        QueuedPlacement queued = new QueuedPlacement(ask, key, assignQueueRank(ask, nowMillis), nowMillis);
+        QueuedPlacement queued = new QueuedPlacement(request, key, assignQueueRank(request, nowMillis), nowMillis);
         if (wouldTimeOut(queued, nowMillis)) {
-            dependencies.decisionListener().shed(ask, queueRejection(queued.tierRank(), nowMillis));
+            dependencies.decisionListener().shed(request, queueRejection(queued.tierRank(), nowMillis));
             return;
         }
-        if (!admitQuota(ask, nowMillis)) {
+        if (!admitQuota(request, nowMillis)) {
             dependencies
                     .decisionListener()
-                    .overQuota(ask, quotaRejection(ask.organisation().orElseThrow(), nowMillis));
+                    .overQuota(request, quotaRejection(request.organisation().orElseThrow(), nowMillis));
             return;
         }
         if (!queue.hasQueuedAhead(queued.tierRank())
@@ -91,25 +91,25 @@
             return;
         }
         queuedRequests.put(key, queued);
-        dependencies.decisionListener().queued(ask);
+        dependencies.decisionListener().queued(request);
         queue.add(queued, nowMillis);
     }
 
     /**
-     * Tells whether a request would only wait to be refused. It is refused on arrival then: its caller can come back
-     * the sooner, and a long line of such requests keeps nobody who has a chance.
+     * Tells whether the estimated wait of a request exceeds its queue timeout. Such a request is rejected on arrival,
+     * so that its caller can retry sooner and a long queue of such requests delays none that can still be served.
      */
     private boolean wouldTimeOut(QueuedPlacement queued, long nowMillis) {
-        int ahead = queue.queuedAhead(queued.tierRank(), nowMillis);
-        long keptMillis = queue.effectiveTimeoutAtMillis(queued, nowMillis) - nowMillis;
+        int queuedAhead = queue.queuedAhead(queued.tierRank(), nowMillis);
+        long timeoutMillis = queue.effectiveTimeoutAtMillis(queued, nowMillis) - nowMillis;
         return dependencies.policy().isEnabled(Mechanism.REFUSAL_ON_ARRIVAL)
-                && ahead >= MIN_AHEAD_FOR_REJECTION
-                && estimatedWaitMillis(ahead, queued.tierRank(), nowMillis) > keptMillis;
+                && queuedAhead >= MIN_AHEAD_FOR_REJECTION
+                && estimatedWaitMillis(queuedAhead, queued.tierRank(), nowMillis) > timeoutMillis;
     }
 
-    private JoinedRanks.Assignment assignQueueRank(PlacementRequest ask, long nowMillis) {
-        Demand demand = ask.demand();
-        long onTimeMillis = ask.onTimeUntilMillis() - nowMillis;
+    private JoinedRanks.Assignment assignQueueRank(PlacementRequest request, long nowMillis) {
+        Demand demand = request.demand();
+        long onTimeMillis = request.onTimeUntilMillis() - nowMillis;
         if (!dependencies.policy().isEnabled(Mechanism.JOINED_RANKS)) {
             return new JoinedRanks.Assignment(demand.tierRank(), onTimeMillis);
         }
@@ -124,18 +124,19 @@
         removeEndedGrants(process);
     }
 
-    /** Forgets the grants of a process whose requests are no longer under way. */
+    /** Removes the grants of a process whose requests are no longer in flight. */
     private void removeEndedGrants(String process) {
         grants.keySet()
                 .removeIf(key -> key.requester().equals(process)
                         && running.find(process, key.id()).isEmpty());
     }
 
-    private boolean admitQuota(PlacementRequest ask, long nowMillis) {
-        return ask.organisation().isEmpty()
+    private boolean admitQuota(PlacementRequest request, long nowMillis) {
+        return request.organisation().isEmpty()
                 || dependencies
                         .quotas()
-                        .tryAdmitFor(ask.requester(), ask.organisation().get(), ask.quotaTokens(), nowMillis);
+                        .tryAdmitFor(
+                                request.requester(), request.organisation().get(), request.quotaTokens(), nowMillis);
     }
 
     void reportProgress(String process, long id, RunEvent event, long tookMillis, long nowMillis) {
@@ -197,14 +198,15 @@
     }
 
     /**
-     * Takes a target that hangs out of use. One process has a request or two at a target and hears nothing for seconds
-     * where a long prompt waits behind others at a slow engine; ejected by that word alone, an engine that works would
-     * be lost when its slots are needed most. If it speaks with others, the silence counts as an error.
+     * Reports a silent target as failed, or as erroneous if it has recently answered another request. A process has
+     * only one or two requests at a target and receives nothing for seconds if its long prompt waits behind others at a
+     * slow engine. If a single report ejected the target, a working engine would be lost when its slots are needed
+     * most.
      */
     private void reportSilence(String targetId, long nowMillis) {
-        Long spokeMillis =
+        Long activeAtMillis =
                 dependencies.policy().isEnabled(Mechanism.SILENCE_TO_ALL) ? lastActivityAtMillis.get(targetId) : null;
-        if (spokeMillis != null && nowMillis - spokeMillis <= TARGET_ACTIVITY_TIMEOUT_MILLIS) {
+        if (activeAtMillis != null && nowMillis - activeAtMillis <= TARGET_ACTIVITY_TIMEOUT_MILLIS) {
             dependencies.targetOutcomeListener().erred(targetId);
         } else {
             dependencies.targetOutcomeListener().failed(targetId, true);
@@ -218,21 +220,21 @@
             case RUN_UNREACHABLE -> dependencies.targetOutcomeListener().failed(targetId, true);
             case RUN_BROKEN -> dependencies.targetOutcomeListener().failed(targetId, false);
             default -> {
-                // The caller left, or nothing is known: no word on the target.
+                // The caller disconnected or the outcome is unknown, which says nothing about the target.
             }
         }
     }
 
     private RejectionDetails queueRejection(int rank, long nowMillis) {
-        long standingMillis = queue.backlogAgeMillis(rank, nowMillis);
-        long adviceMillis = dependencies.policy().isEnabled(Mechanism.ADVICE_BY_STANDING) ? standingMillis : 0;
-        int ahead = queue.queuedAhead(rank, nowMillis);
+        long backlogAgeMillis = queue.backlogAgeMillis(rank, nowMillis);
+        long ageForRetryMillis = dependencies.policy().isEnabled(Mechanism.ADVICE_BY_STANDING) ? backlogAgeMillis : 0;
+        int queuedAhead = queue.queuedAhead(rank, nowMillis);
         return new RejectionDetails(
                 QueueTimeouts.retryAfterMillis(
-                        adviceMillis, dependencies.random().getAsDouble()),
-                ahead,
-                estimatedWaitMillis(ahead, rank, nowMillis),
-                standingMillis,
+                        ageForRetryMillis, dependencies.random().getAsDouble()),
+                queuedAhead,
+                estimatedWaitMillis(queuedAhead, rank, nowMillis),
+                backlogAgeMillis,
                 0);
     }
 
@@ -242,12 +244,12 @@
                 quotas.comeBackMillis(organisation), 0, 0, 0, quotas.levelTokens(organisation, nowMillis));
     }
 
-    private long estimatedWaitMillis(int ahead, int rank, long nowMillis) {
+    private long estimatedWaitMillis(int queuedAhead, int rank, long nowMillis) {
         return waitEstimator.estimatedWaitMillis(
-                ahead, dependencies.policy().isEnabled(Mechanism.PACE_BY_RANK) ? rank : 0, nowMillis);
+                queuedAhead, dependencies.policy().isEnabled(Mechanism.PACE_BY_RANK) ? rank : 0, nowMillis);
     }
 
-    /** One ask that waits. */
+    /** A placement request in the queue. */
     private final class QueuedPlacement implements QueuedRequest {
         private final PlacementRequest request;
         private final RequestKey key;
@@ -255,16 +257,16 @@
         private final long onTimeUntilMillis;
         private final long backlogTimeoutAtMillis;
 
-        QueuedPlacement(PlacementRequest ask, RequestKey key, JoinedRanks.Assignment place, long nowMillis) {
-            this.request = ask;
+        QueuedPlacement(PlacementRequest request, RequestKey key, JoinedRanks.Assignment assignment, long nowMillis) {
+            this.request = request;
             this.key = key;
-            queueRank = place.rank();
-            onTimeUntilMillis = nowMillis + place.onTimeMillis();
-            // A request that failed at a target was accepted once and is late already; it is not turned away
-            // lightly.
-            backlogTimeoutAtMillis = place.onTimeMillis() <= 0
-                    ? ask.queueTimeoutAtMillis()
-                    : nowMillis + QueueTimeouts.backlogTimeoutMillis(place.onTimeMillis());
+            queueRank = assignment.rank();
+            onTimeUntilMillis = nowMillis + assignment.onTimeMillis();
+            // A request that failed at a target was already accepted and is late, so a backlog does not shorten its
+            // timeout.
+            backlogTimeoutAtMillis = assignment.onTimeMillis() <= 0
+                    ? request.queueTimeoutAtMillis()
+                    : nowMillis + QueueTimeouts.backlogTimeoutMillis(assignment.onTimeMillis());
         }
 
         @Override
@@ -297,39 +299,39 @@
             ImmutableDemand demand = ImmutableDemand.copyOf(request.demand())
                     .withTierRank(queueRank)
                     .withRemainingMillis(request.deadlineAtMillis() - nowMillis);
-            Optional<Candidate> chosen = dependencies
+            Optional<Candidate> selected = dependencies
                     .targetSelector()
                     .select(
                             demand,
                             dependencies.targets().apply(service),
                             dependencies.evacuatedDataCentres().get(),
                             nowMillis);
-            if (chosen.isEmpty()) {
+            if (selected.isEmpty()) {
                 return DispatchResult.NO_TARGET;
             }
-            if (shouldWaitForFasterTarget(chosen.get(), demand, nowMillis)) {
+            if (shouldWaitForFasterTarget(selected.get(), demand, nowMillis)) {
                 return DispatchResult.HELD;
             }
-            grant(chosen.get(), nowMillis);
+            grant(selected.get(), nowMillis);
             return DispatchResult.SENT;
         }
 
         /**
-         * Tells whether the request would be late at the best target that is free, and on time at one that is not. A
-         * slow engine reads a long prompt for a second; at a fast one a slot frees within some ten milliseconds, and
-         * the slow one is as good as any other for a short prompt.
+         * Tells whether the request would be late at the best free target but on time at a full one. A slow engine
+         * takes a second to read a long prompt, while a slot of a fast engine frees within tens of milliseconds. The
+         * slow engine stays free for short prompts, for which it is as good as any other.
          */
         private boolean shouldWaitForFasterTarget(Candidate candidate, Demand demand, long nowMillis) {
-            long leftMillis = request.onTimeUntilMillis() - nowMillis;
-            return leftMillis > 0
-                    && candidate.firstEventMillis() > leftMillis
+            long remainingMillis = request.onTimeUntilMillis() - nowMillis;
+            return remainingMillis > 0
+                    && candidate.firstEventMillis() > remainingMillis
                     && dependencies
                             .targetSelector()
                             .anyTargetWithin(
                                     demand,
                                     dependencies.targets().apply(service),
                                     dependencies.evacuatedDataCentres().get(),
-                                    leftMillis,
+                                    remainingMillis,
                                     nowMillis);
         }
 
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/TargetOutcomeListener.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/TargetOutcomeListener.java
@@ -1,26 +1,26 @@
 package org.whinwharf.traffic.coordination;
 
-/** Takes what other processes saw of targets, for the targets' health. */
+/** Receives the outcomes of other processes' requests, which determine the health of targets. */
 public interface TargetOutcomeListener {
     /**
-     * Takes that a target answered a request properly.
+     * Handles that a target answered a request successfully.
      *
      * @param targetId id of the target
      */
     void answered(String targetId);
 
     /**
-     * Takes that a target answered with an error, or refused a request.
+     * Handles that a target answered with an error or refused a request.
      *
      * @param targetId id of the target
      */
     void erred(String targetId);
 
     /**
-     * Takes that a target failed a request.
+     * Handles that a target failed a request.
      *
      * @param targetId id of the target
-     * @param certain true when it could not be reached or fell silent, so that one request shows it
+     * @param conclusive true if the target was unreachable or silent, so that a single request proves the failure
      */
-    void failed(String targetId, boolean certain);
+    void failed(String targetId, boolean conclusive);
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/package-info.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/package-info.java
@@ -1,2 +1,2 @@
-/** One process places the requests of a service for all others, so that each decision sees the whole load. */
+/** Placement of the requests of a service by one coordinator, so that each decision is based on the whole load. */
 package org.whinwharf.traffic.coordination;
