--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CommonPlacementLoadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CommonPlacementLoadTest.java
@@ -31,16 +31,16 @@
     private static final int FRONTS = 60;
     private static final int ENGINES = 63;
     private static final int SLOTS = 6;
-    private static final double LOAD = 0.85;
+    private static final double UTILISATION = 0.85;
     private static final double HOLD_MILLIS = 1_000;
     private static final int REQUESTS = 20_000;
     /** The first requests find an empty fleet. */
     private static final int WARM_UP = 2_000;
 
     private final Random random = new Random(5);
-    private final Map<String, Integer> inside = new HashMap<>();
-    private int sent;
-    private int sentToFull;
+    private final Map<String, Integer> inFlightByEngine = new HashMap<>();
+    private int dispatched;
+    private int dispatchedToFull;
 
     private record End(long atMillis, Runnable action) {}
 
@@ -53,18 +53,18 @@
      */
     @Test
     void oneCoordinatorSendsNothingToFullEnginesWhereLoneFrontsDo() {
-        assertThat(shareSentToFullByOneCoordinator(), lessThan(0.01));
-        inside.clear();
+        assertThat(fullShareWithOneCoordinator(), lessThan(0.01));
+        inFlightByEngine.clear();
         ends.clear();
-        sent = 0;
-        sentToFull = 0;
-        assertThat(shareSentToFullByFrontsAlone(), greaterThan(0.1));
+        dispatched = 0;
+        dispatchedToFull = 0;
+        assertThat(fullShareWithIndependentFronts(), greaterThan(0.1));
     }
 
-    private double shareSentToFullByOneCoordinator() {
+    private double fullShareWithOneCoordinator() {
         Map<String, TargetState> targets = engines();
         PromptCache prompts = new PromptCache();
-        Sender sender = new Sender();
+        GrantListener sender = new GrantListener();
         Coordinator coordinator = new Coordinator(ImmutableCoordinatorDependencies.builder()
                 .localName("front-0")
                 .targetSelector(new TargetSelector(prompts, target -> 0, () -> 0))
@@ -77,18 +77,18 @@
                 .loadListener((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
                 .build());
         sender.coordinator = coordinator;
-        arrivals((request, nowMillis) -> coordinator.requestPlacement(ask(request, nowMillis), nowMillis));
-        return sentToFull / (double) sent;
+        simulateArrivals((request, nowMillis) -> coordinator.requestPlacement(placementRequest(request, nowMillis), nowMillis));
+        return dispatchedToFull / (double) dispatched;
     }
 
-    private double shareSentToFullByFrontsAlone() {
+    private double fullShareWithIndependentFronts() {
         Map<Integer, Map<String, TargetState>> views = new HashMap<>();
         Map<Integer, TargetSelector> placements = new HashMap<>();
         for (int front = 0; front < FRONTS; front++) {
             views.put(front, engines());
             placements.put(front, new TargetSelector(new PromptCache(), target -> 0, () -> random.nextDouble() * 0.5));
         }
-        arrivals((request, nowMillis) -> {
+        simulateArrivals((request, nowMillis) -> {
             int front = request % FRONTS;
             Optional<Candidate> chosen = placements
                     .get(front)
@@ -99,21 +99,21 @@
                             nowMillis);
             chosen.ifPresent(candidate -> {
                 candidate.state().began(candidate.uncachedTokens());
-                run(candidate.state().target().id(), nowMillis, () -> {
+                startRequest(candidate.state().target().id(), nowMillis, () -> {
                     candidate.state().prefilled(candidate.uncachedTokens());
                     candidate.state().ended();
                 });
             });
         });
-        return sentToFull / (double) sent;
+        return dispatchedToFull / (double) dispatched;
     }
 
     private interface Arrival {
         void at(int request, long nowMillis);
     }
 
-    private void arrivals(Arrival arrival) {
-        double gapMillis = HOLD_MILLIS / (ENGINES * SLOTS * LOAD);
+    private void simulateArrivals(Arrival arrival) {
+        double gapMillis = HOLD_MILLIS / (ENGINES * SLOTS * UTILISATION);
         double atMillis = 0;
         for (int request = 0; request < REQUESTS; request++) {
             atMillis += -Math.log(1 - random.nextDouble()) * gapMillis;
@@ -121,21 +121,21 @@
                 ends.poll().action().run();
             }
             if (request == WARM_UP) {
-                sent = 0;
-                sentToFull = 0;
+                dispatched = 0;
+                dispatchedToFull = 0;
             }
             arrival.at(request, (long) atMillis);
         }
     }
 
-    private void run(String engine, long nowMillis, Runnable whenEnded) {
-        int before = inside.merge(engine, 1, Integer::sum) - 1;
-        sent++;
-        sentToFull += before >= SLOTS ? 1 : 0;
+    private void startRequest(String engine, long nowMillis, Runnable whenEnded) {
+        int before = inFlightByEngine.merge(engine, 1, Integer::sum) - 1;
+        dispatched++;
+        dispatchedToFull += before >= SLOTS ? 1 : 0;
         // An engine with more requests than slots works them off at the same pace, so each holds its place longer.
         double factor = Math.max(1, (before + 1) / (double) SLOTS);
         ends.add(new End(nowMillis + (long) (HOLD_MILLIS * factor), () -> {
-            inside.merge(engine, -1, Integer::sum);
+            inFlightByEngine.merge(engine, -1, Integer::sum);
             whenEnded.run();
         }));
     }
@@ -148,7 +148,7 @@
         return engines;
     }
 
-    private static PlacementRequest ask(int request, long nowMillis) {
+    private static PlacementRequest placementRequest(int request, long nowMillis) {
         return ImmutablePlacementRequest.builder()
                 .requester("front-" + request % FRONTS)
                 .id(request)
@@ -159,13 +159,13 @@
                 .build();
     }
 
-    private final class Sender extends GrantsOnly {
+    private final class GrantListener extends NoOpCoordinatorListener {
         private Coordinator coordinator;
 
         @Override
         public void granted(PlacementRequest ask, Candidate candidate) {
             long nowMillis = ask.deadlineAtMillis() - 10_000;
-            run(
+            startRequest(
                     candidate.state().target().id(),
                     nowMillis,
                     () -> coordinator.reportProgress(ask.requester(), ask.id(), RunEvent.RUN_ANSWERED, 0, nowMillis));
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatedFleet.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatedFleet.java
@@ -21,17 +21,17 @@
  * A coordinator with engines that hold a slot for each request for a given time, on a clock that the test drives. The
  * front that asks is {@code front-1}; it says once a second what it has under way.
  */
-final class CoordinatedFleet extends GrantsOnly {
+final class CoordinatedFleet extends NoOpCoordinatorListener {
     static final String FRONT = "front-1";
-    private static final long TICK_MILLIS = 20;
-    private static final long LIST_MILLIS = 1_000;
+    private static final long ADVANCE_INTERVAL_MILLIS = 20;
+    private static final long REPORT_INTERVAL_MILLIS = 1_000;
 
     private final Map<String, TargetState> targets = new LinkedHashMap<>();
     private final PriorityQueue<End> ends = new PriorityQueue<>((a, b) -> Long.compare(a.atMillis(), b.atMillis()));
-    private final Map<Long, Long> holdMillis = new HashMap<>();
-    private final Map<Long, String> engineOf = new HashMap<>();
+    private final Map<Long, Long> holdMillisByRequest = new HashMap<>();
+    private final Map<Long, String> engineByRequest = new HashMap<>();
     private final Map<Long, Long> grantedAtMillis = new HashMap<>();
-    private final Map<Long, Long> refusedAtMillis = new HashMap<>();
+    private final Map<Long, Long> rejectedAtMillis = new HashMap<>();
     private final Coordinator coordinator;
     private long nowMillis;
 
@@ -61,23 +61,23 @@
         while (!ends.isEmpty() && ends.peek().atMillis() <= nowMillis) {
             coordinator.reportProgress(FRONT, ends.poll().id(), RunEvent.RUN_ANSWERED, 0, nowMillis);
         }
-        if (nowMillis % TICK_MILLIS == 0) {
+        if (nowMillis % ADVANCE_INTERVAL_MILLIS == 0) {
             coordinator.advance(nowMillis);
         }
-        if (nowMillis % LIST_MILLIS == LIST_MILLIS - 1) {
-            coordinator.reportInFlight(FRONT, "summaries", underWay(), nowMillis);
+        if (nowMillis % REPORT_INTERVAL_MILLIS == REPORT_INTERVAL_MILLIS - 1) {
+            coordinator.reportInFlight(FRONT, "summaries", inFlight(), nowMillis);
         }
     }
 
-    private Map<Long, RunningRequests.Run> underWay() {
+    private Map<Long, RunningRequests.Run> inFlight() {
         Map<Long, RunningRequests.Run> runs = new HashMap<>();
-        ends.forEach(end -> runs.put(end.id(), new RunningRequests.Run(engineOf.get(end.id()), 0)));
+        ends.forEach(end -> runs.put(end.id(), new RunningRequests.Run(engineByRequest.get(end.id()), 0)));
         return runs;
     }
 
     /** Asks for a target; the request will hold its slot for the given time. */
-    void ask(PlacementRequest ask, long slotMillis) {
-        holdMillis.put(ask.id(), slotMillis);
+    void requestPlacement(PlacementRequest ask, long slotMillis) {
+        holdMillisByRequest.put(ask.id(), slotMillis);
         coordinator.requestPlacement(ask, nowMillis);
     }
 
@@ -91,19 +91,19 @@
     }
 
     /** Returns when each request was refused. */
-    Map<Long, Long> refusedAtMillis() {
-        return refusedAtMillis;
+    Map<Long, Long> rejectedAtMillis() {
+        return rejectedAtMillis;
     }
 
     @Override
     public void granted(PlacementRequest ask, Candidate candidate) {
         grantedAtMillis.put(ask.id(), nowMillis);
-        engineOf.put(ask.id(), candidate.state().target().id());
-        ends.add(new End(nowMillis + holdMillis.get(ask.id()), ask.id()));
+        engineByRequest.put(ask.id(), candidate.state().target().id());
+        ends.add(new End(nowMillis + holdMillisByRequest.get(ask.id()), ask.id()));
     }
 
     @Override
     public void shed(PlacementRequest ask, RejectionDetails grounds) {
-        refusedAtMillis.put(ask.id(), nowMillis);
+        rejectedAtMillis.put(ask.id(), nowMillis);
     }
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorTest.java
@@ -35,9 +35,9 @@
 
     private final Map<String, TargetState> targets = new LinkedHashMap<>();
     private final List<String> granted = new ArrayList<>();
-    private final List<String> waiting = new ArrayList<>();
-    private final List<String> refused = new ArrayList<>();
-    private final List<String> reports = new ArrayList<>();
+    private final List<String> queued = new ArrayList<>();
+    private final List<String> rejected = new ArrayList<>();
+    private final List<String> outcomes = new ArrayList<>();
     private final QuotaLedger quotas = new QuotaLedger(true);
     private final Coordinator coordinator = coordinator();
 
@@ -50,8 +50,8 @@
                 .targets(service -> targets.values())
                 .evacuatedDataCentres(Set::of)
                 .quotas(quotas)
-                .decisionListener(new Decisions())
-                .targetOutcomeListener(new Reports())
+                .decisionListener(new RecordingDecisionListener())
+                .targetOutcomeListener(new RecordingOutcomeListener())
                 .loadListener((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
                 .build());
     }
@@ -63,11 +63,11 @@
     @Test
     void oneLineOrdersTheRequestsOfAllProcesses() {
         engine("engine", 1);
-        coordinator.requestPlacement(ask("front-1", 1, 2, 0), 0);
-        coordinator.requestPlacement(ask("front-1", 2, 2, 0), 0);
-        coordinator.requestPlacement(ask("front-2", 1, 0, 0), 10);
+        coordinator.requestPlacement(placementRequest("front-1", 1, 2, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-1", 2, 2, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-2", 1, 0, 0), 10);
         assertThat(granted, contains("front-1/1@engine"));
-        assertThat(waiting, contains("front-1/2", "front-2/1"));
+        assertThat(queued, contains("front-1/2", "front-2/1"));
         coordinator.reportProgress("front-1", 1, RunEvent.RUN_ANSWERED, 0, 20);
         assertThat(granted, contains("front-1/1@engine", "front-2/1@engine"));
     }
@@ -80,8 +80,8 @@
     void sameAskAgainGetsTheSameGrant() {
         engine("one", 4);
         engine("two", 4);
-        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
-        coordinator.requestPlacement(ask("front-1", 1, 0, 40), 40);
+        coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-1", 1, 0, 40), 40);
         assertThat(granted, hasSize(2));
         assertThat(granted.get(1), is(granted.get(0)));
         assertThat(running(), is(1));
@@ -94,8 +94,8 @@
     @Test
     void listOfWhatIsUnderWayFreesWhatEndedUnheard() {
         engine("engine", 1);
-        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
-        coordinator.requestPlacement(ask("front-2", 1, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-2", 1, 0, 0), 0);
         coordinator.reportInFlight("front-1", SERVICE, Map.of(), 500);
         coordinator.advance(500);
         assertThat(granted, contains("front-1/1@engine", "front-2/1@engine"));
@@ -105,7 +105,7 @@
     @Test
     void listThatCrossesAGrantLeavesItsSlotTaken() {
         engine("engine", 2);
-        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
         coordinator.reportInFlight("front-1", SERVICE, Map.of(), 100);
         assertThat(running(), is(1));
     }
@@ -114,7 +114,7 @@
     @Test
     void requestsOfASilentProcessAreDropped() {
         engine("engine", 1);
-        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
         coordinator.advance(3_000);
         assertThat(running(), is(1));
         coordinator.advance(4_000);
@@ -130,23 +130,23 @@
         engine("engine", 2);
         RunningRequests.Run run = new RunningRequests.Run("engine", 0);
         coordinator.reportInFlight("front-1", SERVICE, Map.of(7L, run, 8L, run), 0);
-        coordinator.requestPlacement(ask("front-2", 1, 1, 0), 10);
+        coordinator.requestPlacement(placementRequest("front-2", 1, 1, 0), 10);
         assertThat(granted, empty());
-        assertThat(waiting, contains("front-2/1"));
+        assertThat(queued, contains("front-2/1"));
     }
 
     @Test
     void endOfPatienceRefusesAndGivesTheQuotaBack() {
         quotas.update(Fixtures.catalog(1, 1, 1_000), 0);
         engine("engine", 1);
-        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
-        coordinator.requestPlacement(withQuota(ask("front-1", 2, 0, 0), 1_000), 0);
-        coordinator.requestPlacement(withQuota(ask("front-1", 3, 0, 0), 1_000), 0);
-        assertThat(refused, contains("front-1/3 over quota"));
+        coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(withQuota(placementRequest("front-1", 2, 0, 0), 1_000), 0);
+        coordinator.requestPlacement(withQuota(placementRequest("front-1", 3, 0, 0), 1_000), 0);
+        assertThat(rejected, contains("front-1/3 over quota"));
         coordinator.advance(1_000);
-        assertThat(refused, contains("front-1/3 over quota", "front-1/2 shed"));
+        assertThat(rejected, contains("front-1/3 over quota", "front-1/2 shed"));
         coordinator.reportProgress("front-1", 1, RunEvent.RUN_ANSWERED, 0, 1_000);
-        coordinator.requestPlacement(withQuota(ask("front-1", 4, 0, 1_000), 1_000), 1_000);
+        coordinator.requestPlacement(withQuota(placementRequest("front-1", 4, 0, 1_000), 1_000), 1_000);
         assertThat(granted, contains("front-1/1@engine", "front-1/4@engine"));
     }
 
@@ -159,25 +159,25 @@
         engine("engine", 1);
         long nowMillis = 0;
         for (long id = 1; id <= 5; id++) {
-            coordinator.requestPlacement(ask("front-1", id, 2, nowMillis), nowMillis);
+            coordinator.requestPlacement(placementRequest("front-1", id, 2, nowMillis), nowMillis);
             nowMillis += 200;
             coordinator.reportProgress("front-1", id, RunEvent.RUN_ANSWERED, 0, nowMillis);
         }
         for (long id = 10; id < 30; id++) {
-            coordinator.requestPlacement(ask("front-1", id, 2, nowMillis), nowMillis);
+            coordinator.requestPlacement(placementRequest("front-1", id, 2, nowMillis), nowMillis);
         }
-        assertThat(refused, hasItem("front-1/29 shed"));
-        coordinator.requestPlacement(ask("front-2", 1, 0, nowMillis), nowMillis);
-        assertThat(waiting, hasItem("front-2/1"));
+        assertThat(rejected, hasItem("front-1/29 shed"));
+        coordinator.requestPlacement(placementRequest("front-2", 1, 0, nowMillis), nowMillis);
+        assertThat(queued, hasItem("front-2/1"));
     }
 
     /** The caller leaves while its request waits. The slot must go to one whose caller is still there. */
     @Test
     void requestGivenUpLeavesTheLine() {
         engine("engine", 1);
-        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
-        coordinator.requestPlacement(ask("front-1", 2, 0, 0), 0);
-        coordinator.requestPlacement(ask("front-2", 3, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-1", 2, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-2", 3, 0, 0), 0);
         coordinator.reportProgress("front-1", 2, RunEvent.RUN_GIVEN_UP, 0, 5);
         coordinator.reportProgress("front-1", 1, RunEvent.RUN_ANSWERED, 0, 10);
         assertThat(granted, contains("front-1/1@engine", "front-2/3@engine"));
@@ -186,13 +186,13 @@
     @Test
     void whatOthersSawOfATargetReachesItsHealthButNotWhatThisProcessSaw() {
         engine("engine", 4);
-        coordinator.requestPlacement(ask("front-0", 1, 0, 0), 0);
-        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
-        coordinator.requestPlacement(ask("front-1", 2, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-0", 1, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-1", 2, 0, 0), 0);
         coordinator.reportProgress("front-0", 1, RunEvent.RUN_BROKEN, 0, 5);
         coordinator.reportProgress("front-1", 1, RunEvent.RUN_SILENT, 0, 5);
         coordinator.reportProgress("front-1", 2, RunEvent.RUN_ERRED, 0, 5);
-        assertThat(reports, containsInAnyOrder("engine failed true", "engine erred"));
+        assertThat(outcomes, containsInAnyOrder("engine failed true", "engine erred"));
     }
 
     /**
@@ -203,11 +203,11 @@
     @Test
     void engineThatSpeaksWithOthersIsNotEjectedForOneSilence() {
         engine("engine", 4);
-        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
-        coordinator.requestPlacement(ask("front-2", 1, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-2", 1, 0, 0), 0);
         coordinator.reportProgress("front-2", 1, RunEvent.RUN_FIRST_EVENT, 1_500, 1_500);
         coordinator.reportProgress("front-1", 1, RunEvent.RUN_STALLED, 0, 2_000);
-        assertThat(reports, contains("engine erred"));
+        assertThat(outcomes, contains("engine erred"));
         assertThat(running(), is(2));
     }
 
@@ -217,11 +217,11 @@
     @Test
     void engineThatIsSilentToAllIsEjectedAtTheFirstWord() {
         engine("engine", 4);
-        coordinator.requestPlacement(ask("front-1", 1, 0, 0), 0);
-        coordinator.requestPlacement(ask("front-2", 1, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-2", 1, 0, 0), 0);
         coordinator.reportProgress("front-2", 1, RunEvent.RUN_FIRST_EVENT, 100, 100);
         coordinator.reportProgress("front-1", 1, RunEvent.RUN_STALLED, 0, 2_000);
-        assertThat(reports, contains("engine failed true"));
+        assertThat(outcomes, contains("engine failed true"));
     }
 
     /**
@@ -232,13 +232,13 @@
     @Test
     void longPromptWaitsForAFastEngineAndAShortOneTakesTheSlow() {
         engine("fast", 1);
-        coordinator.requestPlacement(ask("front-1", 1, 1, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-1", 1, 1, 0), 0);
         TargetState slow = engine("slow", 4);
         for (int i = 0; i < 40; i++) {
             slow.speed().observed(6_000, 0, 720);
         }
         coordinator.requestPlacement(summary("front-1", 2), 0);
-        coordinator.requestPlacement(ask("front-2", 3, 1, 0), 0);
+        coordinator.requestPlacement(placementRequest("front-2", 3, 1, 0), 0);
         coordinator.advance(5);
         assertThat(granted, contains("front-1/1@fast", "front-2/3@slow"));
         coordinator.reportProgress("front-1", 1, RunEvent.RUN_ANSWERED, 0, 10);
@@ -257,7 +257,7 @@
     }
 
     private static PlacementRequest summary(String requester, long id) {
-        return ImmutablePlacementRequest.copyOf(ask(requester, id, 0, 0))
+        return ImmutablePlacementRequest.copyOf(placementRequest(requester, id, 0, 0))
                 .withDemand(Fixtures.demand(0, 6_610, "summary"))
                 .withQueueTimeoutAtMillis(1_600)
                 .withOnTimeUntilMillis(650);
@@ -273,7 +273,7 @@
         return targets.values().stream().mapToInt(TargetState::running).sum();
     }
 
-    private static PlacementRequest ask(String requester, long id, int tierRank, long nowMillis) {
+    private static PlacementRequest placementRequest(String requester, long id, int tierRank, long nowMillis) {
         return ImmutablePlacementRequest.builder()
                 .requester(requester)
                 .id(id)
@@ -290,46 +290,46 @@
                 .withQuotaTokens(tokens);
     }
 
-    private static String name(PlacementRequest ask) {
+    private static String describe(PlacementRequest ask) {
         return ask.requester() + "/" + ask.id();
     }
 
-    private final class Decisions implements DecisionListener {
+    private final class RecordingDecisionListener implements DecisionListener {
         @Override
         public void granted(PlacementRequest ask, Candidate candidate) {
-            granted.add(name(ask) + "@" + candidate.state().target().id());
+            granted.add(describe(ask) + "@" + candidate.state().target().id());
         }
 
         @Override
         public void queued(PlacementRequest ask) {
-            waiting.add(name(ask));
+            queued.add(describe(ask));
         }
 
         @Override
         public void shed(PlacementRequest ask, RejectionDetails grounds) {
-            refused.add(name(ask) + " shed");
+            rejected.add(describe(ask) + " shed");
         }
 
         @Override
         public void overQuota(PlacementRequest ask, RejectionDetails grounds) {
-            refused.add(name(ask) + " over quota");
+            rejected.add(describe(ask) + " over quota");
         }
     }
 
-    private final class Reports implements TargetOutcomeListener {
+    private final class RecordingOutcomeListener implements TargetOutcomeListener {
         @Override
         public void answered(String targetId) {
-            reports.add(targetId + " answered");
+            outcomes.add(targetId + " answered");
         }
 
         @Override
         public void erred(String targetId) {
-            reports.add(targetId + " erred");
+            outcomes.add(targetId + " erred");
         }
 
         @Override
         public void failed(String targetId, boolean certain) {
-            reports.add(targetId + " failed " + certain);
+            outcomes.add(targetId + " failed " + certain);
         }
     }
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/LongOverloadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/LongOverloadTest.java
@@ -27,9 +27,9 @@
     private static final long[] ANSWER_TOKENS = {2_940, 228};
     private static final double NOTE_SHARE = 0.6;
     private static final long OBJECTIVE_MILLIS = 500;
-    private static final long LASTS_MILLIS = 12_000;
+    private static final long OVERLOAD_MILLIS = 12_000;
     /** From here on the line has stood for long enough that both its length and what it keeps have settled. */
-    private static final long SETTLED_MILLIS = 3_000;
+    private static final long WARM_UP_MILLIS = 3_000;
 
     private final CoordinatedFleet fleet = new CoordinatedFleet(ENGINES, SLOTS);
     private final Map<Long, Long> arrivedAtMillis = new HashMap<>();
@@ -42,20 +42,20 @@
         Random random = new Random(11);
         double nextMillis = 0;
         long id = 0;
-        for (long nowMillis = 0; nowMillis < LASTS_MILLIS; nowMillis++) {
+        for (long nowMillis = 0; nowMillis < OVERLOAD_MILLIS; nowMillis++) {
             fleet.advance(nowMillis);
             while (nextMillis <= nowMillis) {
                 nextMillis += -Math.log(1 - random.nextDouble()) / perMilli;
-                ask(id++, random.nextDouble() < NOTE_SHARE ? 0 : 1);
+                requestPlacement(id++, random.nextDouble() < NOTE_SHARE ? 0 : 1);
             }
         }
     }
 
-    private void ask(long id, int kind) {
+    private void requestPlacement(long id, int kind) {
         long nowMillis = fleet.nowMillis();
         arrivedAtMillis.put(id, nowMillis);
         holdMillis.put(id, HOLD_MILLIS[kind]);
-        fleet.ask(
+        fleet.requestPlacement(
                 ImmutablePlacementRequest.builder()
                         .requester(CoordinatedFleet.FRONT)
                         .id(id)
@@ -74,23 +74,23 @@
      */
     @Test
     void whoIsRefusedHearsItSoon() {
-        assertThat(ninth(waits(fleet.refusedAtMillis())), lessThanOrEqualTo(OBJECTIVE_MILLIS / 2));
+        assertThat(ninetiethPercentile(waits(fleet.rejectedAtMillis())), lessThanOrEqualTo(OBJECTIVE_MILLIS / 2));
     }
 
     /** Who is served waits no longer than the objective leaves time for a first event: nine in ten half of it. */
     @Test
     void whoIsServedIsServedOnTime() {
-        assertThat(ninth(waits(fleet.grantedAtMillis())), lessThanOrEqualTo(OBJECTIVE_MILLIS / 2));
+        assertThat(ninetiethPercentile(waits(fleet.grantedAtMillis())), lessThanOrEqualTo(OBJECTIVE_MILLIS / 2));
     }
 
     /** A line that is kept short must not run dry: no slot may stand idle while callers are turned away. */
     @Test
     void slotsStayTaken() {
         long usedMillis = fleet.grantedAtMillis().entrySet().stream()
-                .filter(granted -> granted.getValue() >= SETTLED_MILLIS)
-                .mapToLong(granted -> Math.min(holdMillis.get(granted.getKey()), LASTS_MILLIS - granted.getValue()))
+                .filter(granted -> granted.getValue() >= WARM_UP_MILLIS)
+                .mapToLong(granted -> Math.min(holdMillis.get(granted.getKey()), OVERLOAD_MILLIS - granted.getValue()))
                 .sum();
-        double usable = ENGINES * SLOTS * (double) (LASTS_MILLIS - SETTLED_MILLIS);
+        double usable = ENGINES * SLOTS * (double) (OVERLOAD_MILLIS - WARM_UP_MILLIS);
         // What began before and still runs is not counted, which is half a second's work of the nine.
         assertThat(usedMillis / usable, greaterThan(0.9));
     }
@@ -98,7 +98,7 @@
     private List<Long> waits(Map<Long, Long> atMillis) {
         List<Long> waits = new ArrayList<>();
         atMillis.forEach((id, at) -> {
-            if (arrivedAtMillis.get(id) >= SETTLED_MILLIS) {
+            if (arrivedAtMillis.get(id) >= WARM_UP_MILLIS) {
                 waits.add(at - arrivedAtMillis.get(id));
             }
         });
@@ -106,7 +106,7 @@
         return waits;
     }
 
-    private static long ninth(List<Long> sorted) {
+    private static long ninetiethPercentile(List<Long> sorted) {
         return sorted.get(sorted.size() * 9 / 10);
     }
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/GrantsOnly.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/NoOpCoordinatorListener.java
@@ -6,7 +6,7 @@
 import org.whinwharf.traffic.coordination.TargetOutcomeListener;
 
 /** Takes a coordinator's decisions where a test looks at grants, and ignores all others. */
-abstract class GrantsOnly implements DecisionListener, TargetOutcomeListener {
+abstract class NoOpCoordinatorListener implements DecisionListener, TargetOutcomeListener {
     @Override
     public void queued(PlacementRequest ask) {}
 
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/PlacementTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/PlacementTest.java
@@ -20,16 +20,16 @@
 import org.whinwharf.traffic.target.TargetState;
 
 class PlacementTest {
-    private static final double COLD_RATE = 11;
+    private static final double COLD_REQUESTS_PER_SECOND = 11;
 
-    private final PromptCache prompts = new PromptCache();
-    private final TargetSelector placement = new TargetSelector(prompts, target -> 0, () -> 0);
+    private final PromptCache promptCache = new PromptCache();
+    private final TargetSelector selector = new TargetSelector(promptCache, target -> 0, () -> 0);
 
     @Test
     void promptGoesWhereItWasRead() {
         List<TargetState> states = states(3);
-        prompts.reads(Fixtures.demand(0, 6_610, "orava").promptParts(), "t2", 0);
-        assertThat(chosen(0, "orava", states), is(Optional.of("t2")));
+        promptCache.reads(Fixtures.demand(0, 6_610, "orava").promptParts(), "t2", 0);
+        assertThat(selectedId(0, "orava", states), is(Optional.of("t2")));
     }
 
     /**
@@ -42,8 +42,8 @@
         for (int i = 0; i < 8; i++) {
             states.get(0).began(0);
         }
-        assertThat(chosen(2, "bin", states), is(Optional.empty()));
-        assertThat(chosen(0, "orava", states), is(Optional.of("t0")));
+        assertThat(selectedId(2, "bin", states), is(Optional.empty()));
+        assertThat(selectedId(0, "orava", states), is(Optional.of("t0")));
     }
 
     /**
@@ -54,15 +54,15 @@
     void highestTierMayWaitAtTheEngineByOne() {
         List<TargetState> states = states(1);
         states.get(0).others(8, 0);
-        assertThat(chosen(0, "orava", states), is(Optional.of("t0")));
-        assertThat(chosen(1, "orava", states), is(Optional.empty()));
+        assertThat(selectedId(0, "orava", states), is(Optional.of("t0")));
+        assertThat(selectedId(1, "orava", states), is(Optional.empty()));
     }
 
     @Test
     void fullEngineGetsNothing() {
         List<TargetState> states = states(1);
         states.get(0).others(9, 0);
-        assertThat(chosen(0, "orava", states), is(Optional.empty()));
+        assertThat(selectedId(0, "orava", states), is(Optional.empty()));
     }
 
     /**
@@ -80,8 +80,8 @@
         Demand shortAnswer = Fixtures.demand(0, 6_610, "orava");
         Demand longAnswer =
                 ImmutableDemand.copyOf(shortAnswer).withMaxAnswerTokens(3_000).withRemainingMillis(12_000);
-        assertThat(idOf(placement.select(shortAnswer, states, Set.of(), 0)), is(Optional.of("t0")));
-        assertThat(idOf(placement.select(longAnswer, states, Set.of(), 0)), is(Optional.of("t1")));
+        assertThat(idOf(selector.select(shortAnswer, states, Set.of(), 0)), is(Optional.of("t0")));
+        assertThat(idOf(selector.select(longAnswer, states, Set.of(), 0)), is(Optional.of("t1")));
     }
 
     @Test
@@ -90,7 +90,7 @@
         for (int i = 0; i < 10; i++) {
             states.get(0).speed().observed(6_610, 0, 800);
         }
-        assertThat(chosen(0, "orava", states), is(Optional.of("t1")));
+        assertThat(selectedId(0, "orava", states), is(Optional.of("t1")));
     }
 
     /**
@@ -110,15 +110,15 @@
                 Set<String> known = new HashSet<>(names);
                 known.remove("front-" + cold);
                 known.add(name);
-                sum += new RendezvousColdShares(name, () -> known, any -> COLD_RATE).allowance(target);
+                sum += new RendezvousColdShares(name, () -> known, any -> COLD_REQUESTS_PER_SECOND).allowance(target);
             }
-            assertThat((double) sum, lessThanOrEqualTo(COLD_RATE * 1.5 + 5));
+            assertThat((double) sum, lessThanOrEqualTo(COLD_REQUESTS_PER_SECOND * 1.5 + 5));
         }
     }
 
     @Test
     void coldTargetGetsNoMoreThanTheShareInASecond() {
-        TargetSelector sharing = new TargetSelector(prompts, target -> 3, () -> 0);
+        TargetSelector sharing = new TargetSelector(promptCache, target -> 3, () -> 0);
         List<TargetState> states = states(1);
         states.get(0).coldUntil(5_000);
         int sent = 0;
@@ -135,13 +135,13 @@
     @Test
     void leavingTargetsAndDataCentresGetNothing() {
         List<TargetState> states = states(1);
-        assertThat(placement.select(Fixtures.demand(0, 100, "s"), states, Set.of("zilina-a"), 0), is(Optional.empty()));
+        assertThat(selector.select(Fixtures.demand(0, 100, "s"), states, Set.of("zilina-a"), 0), is(Optional.empty()));
         states.get(0).goneAt(0);
-        assertThat(chosen(0, "s", states), is(Optional.empty()));
+        assertThat(selectedId(0, "s", states), is(Optional.empty()));
     }
 
-    private Optional<String> chosen(int tierRank, String subject, List<TargetState> states) {
-        return placement
+    private Optional<String> selectedId(int tierRank, String subject, List<TargetState> states) {
+        return selector
                 .select(Fixtures.demand(tierRank, 6_610, subject), states, Set.of(), 0)
                 .map(candidate -> candidate.state().target().id());
     }
@@ -169,10 +169,10 @@
         TargetState idle = new TargetState(Fixtures.target("b-idle", 4));
         TargetState earlier = new TargetState(Fixtures.target("c-earlier", 4));
         Demand demand = Fixtures.demand(0, 6_610, "orava");
-        prompts.reads(demand.promptParts(), "c-earlier", 0);
-        prompts.reads(demand.promptParts(), "a-full", 5_000);
+        promptCache.reads(demand.promptParts(), "c-earlier", 0);
+        promptCache.reads(demand.promptParts(), "a-full", 5_000);
         List<TargetState> targets = List.of(full, idle, earlier);
-        Candidate soon = placement.select(demand, targets, Set.of(), 6_000).orElseThrow();
+        Candidate soon = selector.select(demand, targets, Set.of(), 6_000).orElseThrow();
         assertThat(soon.state().target().id(), is("c-earlier"));
         assertThat(soon.uncachedTokens(), is(0L));
     }
@@ -181,8 +181,8 @@
     @Test
     void promptReadLongAgoCountsAsForgotten() {
         Demand demand = Fixtures.demand(0, 6_610, "orava");
-        prompts.reads(demand.promptParts(), "a", 0);
-        assertThat(prompts.uncachedTokens(demand.promptParts(), 6_610, "a", 20_000), is(0L));
-        assertThat(prompts.uncachedTokens(demand.promptParts(), 6_610, "a", 20_001), is(6_550L));
+        promptCache.reads(demand.promptParts(), "a", 0);
+        assertThat(promptCache.uncachedTokens(demand.promptParts(), 6_610, "a", 20_000), is(0L));
+        assertThat(promptCache.uncachedTokens(demand.promptParts(), 6_610, "a", 20_001), is(6_550L));
     }
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TierOverloadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TierOverloadTest.java
@@ -22,7 +22,7 @@
     private static final int SLOTS = 6;
     private static final double[] PER_SECOND = {158, 200, 242};
     private static final long[] HOLD_MILLIS = {1_400, 950, 150};
-    private static final long[] PATIENCE_MILLIS = {1_600, 600, 500};
+    private static final long[] QUEUE_TIMEOUT_MILLIS = {1_600, 600, 500};
     private static final long BURST_MILLIS = 4_000;
 
     private final int[] arrived = new int[3];
@@ -37,29 +37,29 @@
     @Test
     void shortRequestsAreTurnedAwayNoMoreOftenThanTheRankAbove() {
         answerTokens = new long[] {378, 288, 27};
-        burst();
-        assertThat(share(0), greaterThan(0.99));
-        assertThat(share(1), greaterThan(0.7));
-        assertThat(share(2), closeTo(share(1), 0.1));
+        simulateBurst();
+        assertThat(placedShare(0), greaterThan(0.99));
+        assertThat(placedShare(1), greaterThan(0.7));
+        assertThat(placedShare(2), closeTo(placedShare(1), 0.1));
     }
 
     /** The lower a tier, the more of it is turned away; a lower tier must not be served while a higher one is shed. */
     @Test
     void lowerTiersAreTurnedAwayFirst() {
-        burst();
-        assertThat(share(0), greaterThan(0.99));
-        assertThat(share(1), greaterThan(share(2)));
-        assertThat(share(2), lessThan(0.6));
+        simulateBurst();
+        assertThat(placedShare(0), greaterThan(0.99));
+        assertThat(placedShare(1), greaterThan(placedShare(2)));
+        assertThat(placedShare(2), lessThan(0.6));
     }
 
-    private double share(int rank) {
+    private double placedShare(int rank) {
         long placed = fleet.grantedAtMillis().keySet().stream()
                 .filter(id -> ranks.get(id) == rank)
                 .count();
         return placed / (double) arrived[rank];
     }
 
-    private void burst() {
+    private void simulateBurst() {
         Random random = new Random(3);
         double total = PER_SECOND[0] + PER_SECOND[1] + PER_SECOND[2];
         double nextMillis = 0;
@@ -70,23 +70,23 @@
                 nextMillis += -Math.log(1 - random.nextDouble()) * 1_000 / total;
                 double point = random.nextDouble() * total;
                 int rank = point < PER_SECOND[0] ? 0 : point < PER_SECOND[0] + PER_SECOND[1] ? 1 : 2;
-                ask(id++, rank);
+                requestPlacement(id++, rank);
             }
         }
     }
 
-    private void ask(long id, int rank) {
+    private void requestPlacement(long id, int rank) {
         arrived[rank]++;
         ranks.put(id, rank);
-        fleet.ask(
+        fleet.requestPlacement(
                 ImmutablePlacementRequest.builder()
                         .requester(CoordinatedFleet.FRONT)
                         .id(id)
                         .demand(ImmutableDemand.copyOf(Fixtures.demand(rank, 600, "s" + id))
                                 .withMaxAnswerTokens(answerTokens[rank]))
                         .deadlineAtMillis(fleet.nowMillis() + 10_000)
-                        .queueTimeoutAtMillis(fleet.nowMillis() + PATIENCE_MILLIS[rank])
-                        .onTimeUntilMillis(fleet.nowMillis() + PATIENCE_MILLIS[rank] / 2)
+                        .queueTimeoutAtMillis(fleet.nowMillis() + QUEUE_TIMEOUT_MILLIS[rank])
+                        .onTimeUntilMillis(fleet.nowMillis() + QUEUE_TIMEOUT_MILLIS[rank] / 2)
                         .build(),
                 HOLD_MILLIS[rank]);
     }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/WaitingLineTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/WaitingLineTest.java
@@ -13,19 +13,19 @@
 import org.whinwharf.traffic.waiting.RequestQueue;
 
 class WaitingLineTest {
-    private final List<String> sent = new ArrayList<>();
-    private final List<String> refused = new ArrayList<>();
-    private int places;
+    private final List<String> dispatched = new ArrayList<>();
+    private final List<String> rejected = new ArrayList<>();
+    private int freeSlots;
 
-    private class Request implements QueuedRequest {
+    private class TestRequest implements QueuedRequest {
         private final String name;
         private final int tierRank;
-        private final long untilMillis;
+        private final long timeoutAtMillis;
 
-        Request(String name, int tierRank, long untilMillis) {
+        TestRequest(String name, int tierRank, long untilMillis) {
             this.name = name;
             this.tierRank = tierRank;
-            this.untilMillis = untilMillis;
+            this.timeoutAtMillis = untilMillis;
         }
 
         @Override
@@ -35,17 +35,17 @@
 
         @Override
         public long queueTimeoutAtMillis() {
-            return untilMillis;
+            return timeoutAtMillis;
         }
 
         @Override
         public long backlogTimeoutAtMillis() {
-            return untilMillis / 4;
+            return timeoutAtMillis / 4;
         }
 
         @Override
         public long onTimeUntilMillis() {
-            return untilMillis / 2;
+            return timeoutAtMillis / 2;
         }
 
         @Override
@@ -55,29 +55,29 @@
 
         @Override
         public DispatchResult tryDispatch(long nowMillis) {
-            if (places == 0) {
+            if (freeSlots == 0) {
                 return DispatchResult.NO_TARGET;
             }
-            places--;
-            sent.add(name);
+            freeSlots--;
+            dispatched.add(name);
             return DispatchResult.SENT;
         }
 
         @Override
         public void reject(long nowMillis) {
-            refused.add(name);
+            rejected.add(name);
         }
     }
 
     @Test
     void higherTierGoesFirstThenTheEarlier() {
         RequestQueue line = new RequestQueue(10);
-        line.add(new Request("school", 2, 1_000), 0);
-        line.add(new Request("inspector-1", 0, 1_000), 1);
-        line.add(new Request("inspector-2", 0, 1_000), 2);
-        places = 2;
+        line.add(new TestRequest("school", 2, 1_000), 0);
+        line.add(new TestRequest("inspector-1", 0, 1_000), 1);
+        line.add(new TestRequest("inspector-2", 0, 1_000), 2);
+        freeSlots = 2;
         line.advance(10);
-        assertThat(sent, contains("inspector-1", "inspector-2"));
+        assertThat(dispatched, contains("inspector-1", "inspector-2"));
         assertThat(line.size(), is(1));
     }
 
@@ -87,11 +87,11 @@
     @Test
     void requestThatCanBeOnTimeGoesBeforeOneThatIsLate() {
         RequestQueue line = new RequestQueue(10);
-        line.add(new Request("late", 1, 1_000), 0);
-        line.add(new Request("on-time", 1, 2_000), 600);
-        places = 1;
+        line.add(new TestRequest("late", 1, 1_000), 0);
+        line.add(new TestRequest("on-time", 1, 2_000), 600);
+        freeSlots = 1;
         line.advance(700);
-        assertThat(sent, contains("on-time"));
+        assertThat(dispatched, contains("on-time"));
     }
 
     /**
@@ -101,10 +101,10 @@
     @Test
     void overflowPushesOutTheLowestTier() {
         RequestQueue line = new RequestQueue(2);
-        line.add(new Request("school-1", 2, 1_000), 0);
-        line.add(new Request("school-2", 2, 1_000), 0);
-        line.add(new Request("inspector", 0, 1_000), 0);
-        assertThat(refused, contains("school-2"));
+        line.add(new TestRequest("school-1", 2, 1_000), 0);
+        line.add(new TestRequest("school-2", 2, 1_000), 0);
+        line.add(new TestRequest("inspector", 0, 1_000), 0);
+        assertThat(rejected, contains("school-2"));
         assertThat(line.size(), is(2));
     }
 
@@ -115,17 +115,17 @@
     @Test
     void standingLineKeepsRequestsForAShortTimeOnly() {
         RequestQueue line = new RequestQueue(10);
-        line.add(new Request("first", 1, 1_000), 0);
-        line.add(new Request("second", 1, 3_800), 900);
+        line.add(new TestRequest("first", 1, 1_000), 0);
+        line.add(new TestRequest("second", 1, 3_800), 900);
         line.advance(949);
-        assertThat(refused, is(List.of()));
-        line.add(new Request("third", 1, 5_000), 949);
+        assertThat(rejected, is(List.of()));
+        line.add(new TestRequest("third", 1, 5_000), 949);
         line.advance(1_000);
-        assertThat(refused, containsInAnyOrder("first", "second"));
+        assertThat(rejected, containsInAnyOrder("first", "second"));
         line.advance(1_249);
         assertThat(line.size(), is(1));
         line.advance(1_250);
-        assertThat(refused, containsInAnyOrder("first", "second", "third"));
+        assertThat(rejected, containsInAnyOrder("first", "second", "third"));
     }
 
     /**
@@ -135,9 +135,9 @@
     @Test
     void requestHeldForABetterTargetIsNotRefusedByAStandingLine() {
         RequestQueue line = new RequestQueue(10);
-        line.add(new Request("usual", 1, 1_500), 0);
+        line.add(new TestRequest("usual", 1, 1_500), 0);
         line.add(
-                new Request("held", 1, 4_000) {
+                new TestRequest("held", 1, 4_000) {
                     @Override
                     public DispatchResult tryDispatch(long nowMillis) {
                         return DispatchResult.HELD;
@@ -145,7 +145,7 @@
                 },
                 0);
         line.advance(1_100);
-        assertThat(refused, contains("usual"));
+        assertThat(rejected, contains("usual"));
         assertThat(line.size(), is(1));
     }
 
@@ -153,23 +153,23 @@
     @Test
     void lineThatWasWorkedOffStandsNoMore() {
         RequestQueue line = new RequestQueue(10);
-        line.add(new Request("first", 1, 5_000), 0);
+        line.add(new TestRequest("first", 1, 5_000), 0);
         line.advance(900);
-        places = 1;
+        freeSlots = 1;
         line.advance(910);
-        line.add(new Request("second", 1, 2_400), 1_300);
+        line.add(new TestRequest("second", 1, 2_400), 1_300);
         line.advance(1_400);
-        assertThat(refused, is(List.of()));
+        assertThat(rejected, is(List.of()));
         assertThat(line.backlogAgeMillis(1_400), is(100L));
     }
 
     @Test
     void endOfPatienceRefusesOnce() {
         RequestQueue line = new RequestQueue(2);
-        line.add(new Request("school", 2, 100), 0);
+        line.add(new TestRequest("school", 2, 100), 0);
         line.advance(100);
         line.advance(200);
-        assertThat(refused, contains("school"));
+        assertThat(rejected, contains("school"));
         assertThat(line.size(), is(0));
     }
 
@@ -180,11 +180,11 @@
     @Test
     void requestThatComesBackWhileTheLineAdvancesIsKept() {
         RequestQueue line = new RequestQueue(10);
-        QueuedRequest returning = new Request("returning", 1, 1_000) {
+        QueuedRequest returning = new TestRequest("returning", 1, 1_000) {
             @Override
             public DispatchResult tryDispatch(long nowMillis) {
-                if (sent.isEmpty()) {
-                    sent.add("returning");
+                if (dispatched.isEmpty()) {
+                    dispatched.add("returning");
                     line.add(this, nowMillis);
                     return DispatchResult.SENT;
                 }
@@ -195,7 +195,7 @@
         line.advance(10);
         assertThat(line.size(), is(1));
         line.advance(1_000);
-        assertThat(refused, contains("returning"));
+        assertThat(rejected, contains("returning"));
     }
 
     /**
@@ -208,10 +208,10 @@
         for (int i = 0; i < 10; i++) {
             line.add(new FullModelRequest("rare-" + i), 0);
         }
-        line.add(new Request("usual", 1, 1_000), 5);
-        places = 1;
+        line.add(new TestRequest("usual", 1, 1_000), 5);
+        freeSlots = 1;
         line.advance(10);
-        assertThat(sent, contains("usual"));
+        assertThat(dispatched, contains("usual"));
     }
 
     /** Hundreds wait for full engines. Trying each of them at each freed slot would take the whole processor. */
@@ -221,7 +221,7 @@
         int[] tries = new int[1];
         for (int i = 0; i < 500; i++) {
             line.add(
-                    new Request("usual-" + i, 1, 1_000) {
+                    new TestRequest("usual-" + i, 1, 1_000) {
                         @Override
                         public DispatchResult tryDispatch(long nowMillis) {
                             tries[0]++;
@@ -244,7 +244,7 @@
         RequestQueue line = new RequestQueue(100);
         for (int i = 0; i < 10; i++) {
             line.add(
-                    new Request("long-" + i, 1, 1_000) {
+                    new TestRequest("long-" + i, 1, 1_000) {
                         @Override
                         public DispatchResult tryDispatch(long nowMillis) {
                             return DispatchResult.HELD;
@@ -252,14 +252,14 @@
                     },
                     0);
         }
-        line.add(new Request("short", 1, 1_000), 5);
-        places = 1;
+        line.add(new TestRequest("short", 1, 1_000), 5);
+        freeSlots = 1;
         line.advance(10);
-        assertThat(sent, contains("short"));
+        assertThat(dispatched, contains("short"));
         assertThat(line.size(), is(10));
     }
 
-    private final class FullModelRequest extends Request {
+    private final class FullModelRequest extends TestRequest {
         FullModelRequest(String name) {
             super(name, 1, 1_000);
         }
