--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CommonPlacementLoadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CommonPlacementLoadTest.java
@@ -24,8 +24,8 @@
 import org.whinwharf.wire.fleet.RunEvent;
 
 /**
- * Load pattern: steady arrivals at sixty fronts that take 85 of 100 slots of sixty-three engines, as in the larger of
- * the fleets in use. A request holds a slot for a second; an engine with all slots taken keeps it waiting inside.
+ * Load pattern: constant arrivals at sixty fronts that use 85% of the slots of sixty-three engines, as in the larger of
+ * the production fleets. A request holds a slot for a second; an engine without a free slot queues it internally.
  */
 class CommonPlacementLoadTest {
     private static final int FRONTS = 60;
@@ -34,7 +34,7 @@
     private static final double UTILISATION = 0.85;
     private static final double HOLD_MILLIS = 1_000;
     private static final int REQUESTS = 20_000;
-    /** The first requests find an empty fleet. */
+    /** Number of requests excluded from the result, because the first requests find an empty fleet. */
     private static final int WARM_UP = 2_000;
 
     private final Random random = new Random(5);
@@ -47,9 +47,10 @@
     private final PriorityQueue<End> ends = new PriorityQueue<>((a, b) -> Long.compare(a.atMillis(), b.atMillis()));
 
     /**
-     * Each front sees a sixtieth of the requests and takes engines for free that others have filled. One that sees all
-     * requests sends none to a full engine while there is a free one: some free slot is nearly always to be had at this
-     * load. What is asked is one in a hundred at most, and one in ten and more for fronts that choose alone.
+     * Independent fronts know only a sixtieth of the requests and consider engines free that other fronts have filled.
+     * A coordinator knows all requests and sends none to a full engine while another has a free slot, which is nearly
+     * always the case at this load. The test requires less than 1% of requests at full engines with a coordinator, and
+     * more than 10% with independent fronts.
      */
     @Test
     void oneCoordinatorSendsNothingToFullEnginesWhereLoneFrontsDo() {
@@ -64,7 +65,7 @@
     private double fullShareWithOneCoordinator() {
         Map<String, TargetState> targets = engines();
         PromptCache prompts = new PromptCache();
-        GrantListener sender = new GrantListener();
+        GrantListener listener = new GrantListener();
         Coordinator coordinator = new Coordinator(ImmutableCoordinatorDependencies.builder()
                 .localName("front-0")
                 .targetSelector(new TargetSelector(prompts, target -> 0, () -> 0))
@@ -72,12 +73,13 @@
                 .targets(service -> targets.values())
                 .evacuatedDataCentres(Set::of)
                 .quotas(new QuotaLedger(true))
-                .decisionListener(sender)
-                .targetOutcomeListener(sender)
+                .decisionListener(listener)
+                .targetOutcomeListener(listener)
                 .loadListener((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
                 .build());
-        sender.coordinator = coordinator;
-        simulateArrivals((request, nowMillis) -> coordinator.requestPlacement(placementRequest(request, nowMillis), nowMillis));
+        listener.coordinator = coordinator;
+        simulateArrivals(
+                (request, nowMillis) -> coordinator.requestPlacement(placementRequest(request, nowMillis), nowMillis));
         return dispatchedToFull / (double) dispatched;
     }
 
@@ -128,15 +130,15 @@
         }
     }
 
-    private void startRequest(String engine, long nowMillis, Runnable whenEnded) {
-        int before = inFlightByEngine.merge(engine, 1, Integer::sum) - 1;
+    private void startRequest(String engine, long nowMillis, Runnable onEnd) {
+        int inFlight = inFlightByEngine.merge(engine, 1, Integer::sum) - 1;
         dispatched++;
-        dispatchedToFull += before >= SLOTS ? 1 : 0;
-        // An engine with more requests than slots works them off at the same pace, so each holds its place longer.
-        double factor = Math.max(1, (before + 1) / (double) SLOTS);
+        dispatchedToFull += inFlight >= SLOTS ? 1 : 0;
+        // An engine with more requests than slots has the same throughput, so each request takes longer.
+        double factor = Math.max(1, (inFlight + 1) / (double) SLOTS);
         ends.add(new End(nowMillis + (long) (HOLD_MILLIS * factor), () -> {
             inFlightByEngine.merge(engine, -1, Integer::sum);
-            whenEnded.run();
+            onEnd.run();
         }));
     }
 
@@ -163,12 +165,13 @@
         private Coordinator coordinator;
 
         @Override
-        public void granted(PlacementRequest ask, Candidate candidate) {
-            long nowMillis = ask.deadlineAtMillis() - 10_000;
+        public void granted(PlacementRequest request, Candidate candidate) {
+            long nowMillis = request.deadlineAtMillis() - 10_000;
             startRequest(
                     candidate.state().target().id(),
                     nowMillis,
-                    () -> coordinator.reportProgress(ask.requester(), ask.id(), RunEvent.RUN_ANSWERED, 0, nowMillis));
+                    () -> coordinator.reportProgress(
+                            request.requester(), request.id(), RunEvent.RUN_ANSWERED, 0, nowMillis));
         }
     }
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatedFleet.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatedFleet.java
@@ -18,8 +18,8 @@
 import org.whinwharf.wire.fleet.RunEvent;
 
 /**
- * A coordinator with engines that hold a slot for each request for a given time, on a clock that the test drives. The
- * front that asks is {@code front-1}; it says once a second what it has under way.
+ * Simulates a coordinator and engines that hold a slot for each request for a given time, on a clock driven by the
+ * test. The requester is {@code front-1}, which reports its requests in flight once per second.
  */
 final class CoordinatedFleet extends NoOpCoordinatorListener {
     static final String FRONT = "front-1";
@@ -55,7 +55,7 @@
                 .build());
     }
 
-    /** Moves the clock: requests end, the line is looked at, and the front says what it has under way. */
+    /** Advances the clock: ends requests, advances the coordinator, and reports the requests in flight. */
     void advance(long toMillis) {
         nowMillis = toMillis;
         while (!ends.isEmpty() && ends.peek().atMillis() <= nowMillis) {
@@ -75,35 +75,35 @@
         return runs;
     }
 
-    /** Asks for a target; the request will hold its slot for the given time. */
-    void requestPlacement(PlacementRequest ask, long slotMillis) {
-        holdMillisByRequest.put(ask.id(), slotMillis);
-        coordinator.requestPlacement(ask, nowMillis);
+    /** Requests a placement; the request holds its slot for the given time. */
+    void requestPlacement(PlacementRequest request, long slotMillis) {
+        holdMillisByRequest.put(request.id(), slotMillis);
+        coordinator.requestPlacement(request, nowMillis);
     }
 
     long nowMillis() {
         return nowMillis;
     }
 
-    /** Returns when each request got a target. */
+    /** Returns the time at which each request was granted a target, by id. */
     Map<Long, Long> grantedAtMillis() {
         return grantedAtMillis;
     }
 
-    /** Returns when each request was refused. */
+    /** Returns the time at which each request was rejected, by id. */
     Map<Long, Long> rejectedAtMillis() {
         return rejectedAtMillis;
     }
 
     @Override
-    public void granted(PlacementRequest ask, Candidate candidate) {
-        grantedAtMillis.put(ask.id(), nowMillis);
-        engineByRequest.put(ask.id(), candidate.state().target().id());
-        ends.add(new End(nowMillis + holdMillisByRequest.get(ask.id()), ask.id()));
+    public void granted(PlacementRequest request, Candidate candidate) {
+        grantedAtMillis.put(request.id(), nowMillis);
+        engineByRequest.put(request.id(), candidate.state().target().id());
+        ends.add(new End(nowMillis + holdMillisByRequest.get(request.id()), request.id()));
     }
 
     @Override
-    public void shed(PlacementRequest ask, RejectionDetails grounds) {
-        rejectedAtMillis.put(ask.id(), nowMillis);
+    public void shed(PlacementRequest request, RejectionDetails details) {
+        rejectedAtMillis.put(request.id(), nowMillis);
     }
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorRankingTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorRankingTest.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * The host of the coordinator is restarted. If it took its duty back at once, it would place by an empty picture of
-     * the load while the one that stood in still has the whole.
+     * The host of the coordinator restarts. If the restarted process coordinated again at once, it would place requests
+     * without knowing the load, although its replacement knows all of it.
      */
     @Test
     void processThatWasJustStartedComesLast() {
@@ -39,18 +39,18 @@
     }
 
     /**
-     * All processes of a fleet were killed and are back within a second of each other. Their signs of life reach each
-     * at other times. While each of them ranked by its own idea of who has run for long enough, dozens coordinated at
-     * once: every engine got several times what it bears, and all callers waited more than a second.
+     * All processes of a fleet restart within a second of each other, and their heartbeats reach each process at
+     * different times. When each process ranked by its own view of which processes have settled, dozens coordinated at
+     * once. Every engine received several times its capacity, and all callers waited more than a second.
      */
     @Test
     void fleetThatStartedTogetherKeepsOneCoordinatorWhileItSettles() {
         Set<String> coordinators = new HashSet<>();
         Random random = new Random(5);
-        for (long beats = 1; beats < 100; beats++) {
+        for (long heartbeats = 1; heartbeats < 100; heartbeats++) {
             List<Member> seen = new ArrayList<>();
             for (Member member : fleet(82)) {
-                seen.add(new Member(member.report(), Math.max(1, beats - random.nextInt(18)), 0));
+                seen.add(new Member(member.report(), Math.max(1, heartbeats - random.nextInt(18)), 0));
             }
             coordinators.add(CoordinatorRanking.rank("s", seen).get(0).getName());
         }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorTest.java
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Two fronts each hold a request back for the next free slot. An inspector's came second, at the other front. Where
-     * each front keeps a line of its own, the slot goes to whoever looks first.
+     * Guards against priority inversion between fronts. Requests wait at two fronts, and the later one, at the second
+     * front, has a higher rank. If each front kept its own queue, the slot would go to the front that tries first.
      */
     @Test
     void oneLineOrdersTheRequestsOfAllProcesses() {
@@ -73,8 +73,8 @@
     }
 
     /**
-     * The datagram with a grant is lost and the front asks again. A second grant would take a second slot that nobody
-     * uses until the next list.
+     * A front repeats its placement request because the datagram with the grant was lost. A second grant would occupy a
+     * second, unused slot until the front's next report.
      */
     @Test
     void sameAskAgainGetsTheSameGrant() {
@@ -88,8 +88,8 @@
     }
 
     /**
-     * The word that a request has ended is lost. Its slot would stay taken for ever, and the engine would get less and
-     * less work until it stood idle; the front's next list leaves the request out.
+     * The report that a request has ended is lost. If its slot stayed occupied for ever, the engine would receive fewer
+     * and fewer requests until it was idle. The front's next report of requests in flight omits the request.
      */
     @Test
     void listOfWhatIsUnderWayFreesWhatEndedUnheard() {
@@ -101,7 +101,9 @@
         assertThat(granted, contains("front-1/1@engine", "front-2/1@engine"));
     }
 
-    /** A grant and a list cross on their way: the list was made before the grant came and must not free its slot. */
+    /**
+     * A report that was sent before the grant arrived does not include the granted request and must not free its slot.
+     */
     @Test
     void listThatCrossesAGrantLeavesItsSlotTaken() {
         engine("engine", 2);
@@ -110,7 +112,7 @@
         assertThat(running(), is(1));
     }
 
-    /** A front is killed with requests under way. Nobody will ever say that they have ended. */
+    /** A front crashes with requests in flight, so that their ends are never reported. */
     @Test
     void requestsOfASilentProcessAreDropped() {
         engine("engine", 1);
@@ -122,8 +124,8 @@
     }
 
     /**
-     * The coordinator is killed and another front takes over. It has granted nothing itself; without the lists of the
-     * others it would take every engine for idle and send each its slots a second time.
+     * The coordinator crashes and another front takes over, which has granted nothing itself. Without the reports of
+     * the other fronts it would consider every engine idle and fill its slots a second time.
      */
     @Test
     void newCoordinatorCountsWhatOthersHaveUnderWay() {
@@ -151,8 +153,8 @@
     }
 
     /**
-     * A burst brings far more than the engines work off within a request's patience. Who cannot be served in time waits
-     * for nothing and is told so at once; an inspector still goes before all of them and is kept.
+     * A burst exceeds what the engines serve within the queue timeout. Requests that would only wait for their timeout
+     * are rejected at once. A request of a higher tier is served before all of them and is queued.
      */
     @Test
     void requestThatWouldWaitInVainIsRefusedOnArrival() {
@@ -171,7 +173,7 @@
         assertThat(queued, hasItem("front-2/1"));
     }
 
-    /** The caller leaves while its request waits. The slot must go to one whose caller is still there. */
+    /** The caller disconnects while its request is queued. The slot must go to a request whose caller is connected. */
     @Test
     void requestGivenUpLeavesTheLine() {
         engine("engine", 1);
@@ -196,9 +198,10 @@
     }
 
     /**
-     * Two data centres are gone and a slow engine is part of what is left. One front's long prompt waits there behind
-     * those of others, and the front hears nothing for two seconds. The engine answers the others all the while; taken
-     * out of use, its slots would be lost when callers are already refused for want of them.
+     * Guards against ejecting a working engine. Two data centres are down and a slow engine is among the remaining
+     * ones. A long prompt of one front waits there behind others, and the front receives nothing for two seconds, while
+     * the engine answers the other fronts. Ejecting it would lose slots while requests are already rejected for lack of
+     * slots.
      */
     @Test
     void engineThatSpeaksWithOthersIsNotEjectedForOneSilence() {
@@ -211,9 +214,7 @@
         assertThat(running(), is(2));
     }
 
-    /**
-     * An engine hangs: it accepts connections and says nothing to anybody. Each slot filled there is a lost request.
-     */
+    /** An engine hangs: it accepts connections but answers no front. Every further request sent to it is lost. */
     @Test
     void engineThatIsSilentToAllIsEjectedAtTheFirstWord() {
         engine("engine", 4);
@@ -225,9 +226,9 @@
     }
 
     /**
-     * One engine is six times as slow as the other, which is full for a moment. Sent to the slow one, a long summary
-     * comes too late for the inspector; held for some ten milliseconds, it comes in time. A short note goes to the slow
-     * engine meanwhile.
+     * One engine is six times slower than the other, which is full for a moment. A long prompt would miss its objective
+     * at the slow engine but meets it after waiting tens of milliseconds for the fast one. A short prompt is sent to
+     * the slow engine in the meantime.
      */
     @Test
     void longPromptWaitsForAFastEngineAndAShortOneTakesTheSlow() {
@@ -245,7 +246,7 @@
         assertThat(granted, hasItem("front-1/2@fast"));
     }
 
-    /** All engines are as slow as that, and nothing is gained by waiting: a late summary is better than a later one. */
+    /** If all engines are slow, waiting gains nothing and only makes the late answer later. */
     @Test
     void longPromptGoesToASlowEngineWhereNoneIsFaster() {
         TargetState slow = engine("slow", 4);
@@ -284,35 +285,35 @@
                 .build();
     }
 
-    private static PlacementRequest withQuota(PlacementRequest ask, long tokens) {
-        return ImmutablePlacementRequest.copyOf(ask)
+    private static PlacementRequest withQuota(PlacementRequest request, long tokens) {
+        return ImmutablePlacementRequest.copyOf(request)
                 .withOrganisation(Optional.of("obec"))
                 .withQuotaTokens(tokens);
     }
 
-    private static String describe(PlacementRequest ask) {
-        return ask.requester() + "/" + ask.id();
+    private static String describe(PlacementRequest request) {
+        return request.requester() + "/" + request.id();
     }
 
     private final class RecordingDecisionListener implements DecisionListener {
         @Override
-        public void granted(PlacementRequest ask, Candidate candidate) {
-            granted.add(describe(ask) + "@" + candidate.state().target().id());
+        public void granted(PlacementRequest request, Candidate candidate) {
+            granted.add(describe(request) + "@" + candidate.state().target().id());
         }
 
         @Override
-        public void queued(PlacementRequest ask) {
-            queued.add(describe(ask));
+        public void queued(PlacementRequest request) {
+            queued.add(describe(request));
         }
 
         @Override
-        public void shed(PlacementRequest ask, RejectionDetails grounds) {
-            rejected.add(describe(ask) + " shed");
+        public void shed(PlacementRequest request, RejectionDetails details) {
+            rejected.add(describe(request) + " shed");
         }
 
         @Override
-        public void overQuota(PlacementRequest ask, RejectionDetails grounds) {
-            rejected.add(describe(ask) + " over quota");
+        public void overQuota(PlacementRequest request, RejectionDetails details) {
+            rejected.add(describe(request) + " over quota");
         }
     }
 
@@ -328,8 +329,8 @@
         }
 
         @Override
-        public void failed(String targetId, boolean certain) {
-            outcomes.add(targetId + " failed " + certain);
+        public void failed(String targetId, boolean conclusive) {
+            outcomes.add(targetId + " failed " + conclusive);
         }
     }
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/Fixtures.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/Fixtures.java
@@ -16,7 +16,7 @@
 import org.whinwharf.wire.fleet.MemberPhase;
 import org.whinwharf.wire.fleet.MemberReport;
 
-/** Values that the tests of this module share. */
+/** Test data shared by the tests of this module. */
 public final class Fixtures {
     private Fixtures() {}
 
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/JoinedRanksTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/JoinedRanksTest.java
@@ -16,8 +16,8 @@
     private final JoinedRanks ranks = new JoinedRanks();
 
     /**
-     * In a burst a strict order of routes turns away four checks in five, though all of them together need a tenth of
-     * what the notes above them need. A driver at the bin gets no answer, and no note is gained by it.
+     * In a burst, strict priority rejects four checks in five, although all checks together need a tenth of the
+     * capacity of the higher-ranked notes. The rejections free no capacity for another note.
      */
     @Test
     void shortRequestsWaitWithTheRankAbove() {
@@ -26,7 +26,7 @@
         assertThat(ranks.assign(rank(0, 2), CHECK_MILLIS, 330), is(new JoinedRanks.Assignment(rank(0, 1), 250)));
     }
 
-    /** Notes are nearly as long as summaries. Joined with them, they would take every other slot from an inspector. */
+    /** Notes are nearly as long as summaries. In a joined rank, they would take every other slot from the summaries. */
     @Test
     void longRequestsKeepTheirRank() {
         ranks.assign(rank(0, 0), SUMMARY_MILLIS, 650);
@@ -34,8 +34,8 @@
     }
 
     /**
-     * An organisation of a lower rank sends short requests only. They must not go with those of a higher one, since its
-     * requests would then be refused while lower ones are served.
+     * An organisation of a lower rank sends only short requests. They must not join the rank of another organisation,
+     * because requests of the higher-ranked organisation would be rejected while lower-ranked ones are served.
      */
     @Test
     void organisationsOfAnotherRankAreNeverJoined() {
@@ -43,7 +43,7 @@
         assertThat(ranks.assign(rank(1, 0), CHECK_MILLIS, 330), is(new JoinedRanks.Assignment(rank(1, 0), 330)));
     }
 
-    /** One short note among long ones is no reason to treat it otherwise than its route. */
+    /** A single short note among long ones is ranked like the rest of its route. */
     @Test
     void ranksAreJudgedByTheirAverageAndNotByOneRequest() {
         ranks.assign(rank(0, 0), SUMMARY_MILLIS, 650);
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/LongOverloadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/LongOverloadTest.java
@@ -16,9 +16,10 @@
 import org.whinwharf.traffic.placement.ImmutableDemand;
 
 /**
- * Load pattern: for twelve seconds twice as many notes and checks as six engines of eleven slots bear, as the smaller
- * fleets in use see it when a few organisations send many times their usual. Notes hold a slot for 1.2 s and checks for
- * 0.15 s, of which three fifths and two fifths are asked; both have an objective of half a second.
+ * Load pattern: for twelve seconds, notes and checks at twice the capacity of six engines with eleven slots each, as in
+ * the smaller production fleets when a few organisations send many times their usual load. Notes hold a slot for 1.2 s
+ * and are three fifths of the requests, checks hold one for 0.15 s and are two fifths. Both have a latency objective of
+ * half a second.
  */
 class LongOverloadTest {
     private static final int ENGINES = 6;
@@ -28,7 +29,7 @@
     private static final double NOTE_SHARE = 0.6;
     private static final long OBJECTIVE_MILLIS = 500;
     private static final long OVERLOAD_MILLIS = 12_000;
-    /** From here on the line has stood for long enough that both its length and what it keeps have settled. */
+    /** Time after which the length of the queue and its timeouts have settled. */
     private static final long WARM_UP_MILLIS = 3_000;
 
     private final CoordinatedFleet fleet = new CoordinatedFleet(ENGINES, SLOTS);
@@ -69,21 +70,21 @@
     }
 
     /**
-     * Half of all callers have to be turned away. Each second that one is kept before it hears so is lost to it; nine
-     * in ten hear it within half of their objective.
+     * Half of all requests have to be rejected. A caller loses the time it waits for its rejection, so nine in ten must
+     * be rejected within half of their objective.
      */
     @Test
     void whoIsRefusedHearsItSoon() {
         assertThat(ninetiethPercentile(waits(fleet.rejectedAtMillis())), lessThanOrEqualTo(OBJECTIVE_MILLIS / 2));
     }
 
-    /** Who is served waits no longer than the objective leaves time for a first event: nine in ten half of it. */
+    /** Nine in ten placed requests wait at most half of their objective, which leaves time for the first event. */
     @Test
     void whoIsServedIsServedOnTime() {
         assertThat(ninetiethPercentile(waits(fleet.grantedAtMillis())), lessThanOrEqualTo(OBJECTIVE_MILLIS / 2));
     }
 
-    /** A line that is kept short must not run dry: no slot may stand idle while callers are turned away. */
+    /** A short queue must not run empty: no slot may be idle while requests are rejected. */
     @Test
     void slotsStayTaken() {
         long usedMillis = fleet.grantedAtMillis().entrySet().stream()
@@ -91,7 +92,7 @@
                 .mapToLong(granted -> Math.min(holdMillis.get(granted.getKey()), OVERLOAD_MILLIS - granted.getValue()))
                 .sum();
         double usable = ENGINES * SLOTS * (double) (OVERLOAD_MILLIS - WARM_UP_MILLIS);
-        // What began before and still runs is not counted, which is half a second's work of the nine.
+        // Requests that started before the warm-up ended are not counted: about half a second of the nine measured.
         assertThat(usedMillis / usable, greaterThan(0.9));
     }
 
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/NoOpCoordinatorListener.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/NoOpCoordinatorListener.java
@@ -5,16 +5,16 @@
 import org.whinwharf.traffic.coordination.RejectionDetails;
 import org.whinwharf.traffic.coordination.TargetOutcomeListener;
 
-/** Takes a coordinator's decisions where a test looks at grants, and ignores all others. */
+/** Listener for the decisions and outcomes of a coordinator that ignores all of them except grants. */
 abstract class NoOpCoordinatorListener implements DecisionListener, TargetOutcomeListener {
     @Override
-    public void queued(PlacementRequest ask) {}
+    public void queued(PlacementRequest request) {}
 
     @Override
-    public void shed(PlacementRequest ask, RejectionDetails grounds) {}
+    public void shed(PlacementRequest request, RejectionDetails details) {}
 
     @Override
-    public void overQuota(PlacementRequest ask, RejectionDetails grounds) {}
+    public void overQuota(PlacementRequest request, RejectionDetails details) {}
 
     @Override
     public void answered(String targetId) {}
@@ -23,5 +23,5 @@
     public void erred(String targetId) {}
 
     @Override
-    public void failed(String targetId, boolean certain) {}
+    public void failed(String targetId, boolean conclusive) {}
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/PlacementTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/PlacementTest.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * A burst fills the engines. If every tier may take the last slot, an inspector's summary that comes a moment later
-     * waits behind sorting answers; a lower tier therefore leaves slots free.
+     * A burst fills the engines. If every tier could take the last slot, a request of the highest tier that arrives a
+     * moment later would wait behind lower tiers. Lower tiers therefore leave slots free.
      */
     @Test
     void lastSlotsAreKeptForTheHighestTier() {
@@ -47,8 +47,8 @@
     }
 
     /**
-     * All slots are taken by the last news, which is a tenth of a second old. Without one request that waits at the
-     * engine the slot that frees next stands empty until news of it has come round.
+     * According to the last report, which is a tenth of a second old, all slots are taken. Without one request that
+     * waits at the engine, the next free slot would stay empty until its report arrives.
      */
     @Test
     void highestTierMayWaitAtTheEngineByOne() {
@@ -66,9 +66,10 @@
     }
 
     /**
-     * Engines of one service differ by a factor of five. A transcription of 3,000 tokens takes 10 s on a usual engine
-     * and 28 s on a slow one, while its caller waits 12 s; the slow engine is idle and the usual one half full. Placed
-     * by the first event alone, the longest answers are begun on slow engines and lost at their deadline.
+     * The speeds of the engines of one service differ by a factor of five. An answer of 3,000 tokens takes 10 s on a
+     * usual engine and 28 s on a slow one, and its deadline is 12 s. The slow engine is idle and the usual one half
+     * full. If only the time to the first event counted, the longest answers would start on slow engines and miss their
+     * deadline.
      */
     @Test
     void longAnswerGoesWhereItCanEndInTime() {
@@ -94,8 +95,9 @@
     }
 
     /**
-     * Four engines come back cold together after their data centre was out. Each bears eleven requests in a second; the
-     * seven processes know nothing of each other's requests and hold lists of members that differ by one.
+     * Four engines return cold together after an outage of their data centre. Each has a capacity of eleven requests
+     * per second. The seven processes do not know each other's requests, and their membership views differ by one
+     * member.
      */
     @Test
     void allProcessesTogetherKeepToWhatAColdTargetBears() {
@@ -141,8 +143,7 @@
     }
 
     private Optional<String> selectedId(int tierRank, String subject, List<TargetState> states) {
-        return selector
-                .select(Fixtures.demand(tierRank, 6_610, subject), states, Set.of(), 0)
+        return selector.select(Fixtures.demand(tierRank, 6_610, subject), states, Set.of(), 0)
                 .map(candidate -> candidate.state().target().id());
     }
 
@@ -159,8 +160,9 @@
     }
 
     /**
-     * Requests on one subject come every second and the engine that read it last is full each time. Sent to the next
-     * idle engine, each would read 6,610 tokens again; another that read the subject some seconds ago is free.
+     * Requests with the same prompt prefix arrive every second, and the engine that read it last is full each time. At
+     * an arbitrary idle engine each would read 6,610 tokens again, although another engine that read the prompt some
+     * seconds ago is free.
      */
     @Test
     void promptGoesToAnyTargetThatReadItLately() {
@@ -177,7 +179,9 @@
         assertThat(soon.uncachedTokens(), is(0L));
     }
 
-    /** An engine keeps a prompt for a while only; one that was read long ago is no reason to go there. */
+    /**
+     * Engines cache a prompt only for a limited time, so one that was read long ago does not make a target preferable.
+     */
     @Test
     void promptReadLongAgoCountsAsForgotten() {
         Demand demand = Fixtures.demand(0, 6_610, "orava");
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TierOverloadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TierOverloadTest.java
@@ -13,9 +13,9 @@
 import org.whinwharf.traffic.placement.ImmutableDemand;
 
 /**
- * Load pattern: a burst of four seconds at one and a half times what sixty-three engines of six slots bear, in three
- * tiers as the larger of the fleets in use has them: summaries that hold a slot for 1.4 s, notes for 0.95 s, checks for
- * 0.15 s.
+ * Load pattern: a burst of four seconds at one and a half times the capacity of sixty-three engines with six slots
+ * each, in the three tiers of the larger of the production fleets: summaries that hold a slot for 1.4 s, notes for 0.95
+ * s and checks for 0.15 s.
  */
 class TierOverloadTest {
     private static final int ENGINES = 63;
@@ -31,8 +31,8 @@
     private long[] answerTokens = new long[3];
 
     /**
-     * The checks have answers of a tenth of the notes' length here. In a strict order of routes they are refused nearly
-     * all, which frees slots for one note in seven of them.
+     * The answers of checks are a tenth as long as those of notes. Strict priority rejects nearly all checks, although
+     * seven rejected checks free the capacity for only one note.
      */
     @Test
     void shortRequestsAreTurnedAwayNoMoreOftenThanTheRankAbove() {
@@ -43,7 +43,7 @@
         assertThat(placedShare(2), closeTo(placedShare(1), 0.1));
     }
 
-    /** The lower a tier, the more of it is turned away; a lower tier must not be served while a higher one is shed. */
+    /** The lower a tier, the larger its rejected share. A lower tier must not be served while a higher one is shed. */
     @Test
     void lowerTiersAreTurnedAwayFirst() {
         simulateBurst();
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TierRankTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TierRankTest.java
@@ -10,8 +10,8 @@
 
 class TierRankTest {
     /**
-     * All organisations have been given the same rank. In a burst the summaries of all of them are still to be served
-     * before notes, and notes before checks; with the organisation's rank alone, whoever came first was served.
+     * All organisations have the same rank. In a burst, their summaries must still be served before notes, and notes
+     * before checks. With the rank of the organisation alone, requests were served in order of arrival.
      */
     @Test
     void routesOfEquallyRankedOrganisationsKeepTheirOrder() {
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/WaitingLineTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/WaitingLineTest.java
@@ -71,72 +71,72 @@
 
     @Test
     void higherTierGoesFirstThenTheEarlier() {
-        RequestQueue line = new RequestQueue(10);
-        line.add(new TestRequest("school", 2, 1_000), 0);
-        line.add(new TestRequest("inspector-1", 0, 1_000), 1);
-        line.add(new TestRequest("inspector-2", 0, 1_000), 2);
+        RequestQueue queue = new RequestQueue(10);
+        queue.add(new TestRequest("school", 2, 1_000), 0);
+        queue.add(new TestRequest("inspector-1", 0, 1_000), 1);
+        queue.add(new TestRequest("inspector-2", 0, 1_000), 2);
         freeSlots = 2;
-        line.advance(10);
+        queue.advance(10);
         assertThat(dispatched, contains("inspector-1", "inspector-2"));
-        assertThat(line.size(), is(1));
+        assertThat(queue.size(), is(1));
     }
 
     /**
-     * A burst has left requests waiting that are late already. If they went first, each that follows would be late too.
+     * A burst has left late requests in the queue. If they were served first, every later request would be late too.
      */
     @Test
     void requestThatCanBeOnTimeGoesBeforeOneThatIsLate() {
-        RequestQueue line = new RequestQueue(10);
-        line.add(new TestRequest("late", 1, 1_000), 0);
-        line.add(new TestRequest("on-time", 1, 2_000), 600);
+        RequestQueue queue = new RequestQueue(10);
+        queue.add(new TestRequest("late", 1, 1_000), 0);
+        queue.add(new TestRequest("on-time", 1, 2_000), 600);
         freeSlots = 1;
-        line.advance(700);
+        queue.advance(700);
         assertThat(dispatched, contains("on-time"));
     }
 
     /**
-     * More requests wait than the process keeps. The newcomer may be an inspector's; the one to go is the last of the
-     * lowest tier, or a higher tier would be shed while a lower one is kept.
+     * The queue exceeds its limit. The new request may be of a higher tier, so the last request of the lowest tier is
+     * evicted. Otherwise a higher tier would be shed while a lower one stays queued.
      */
     @Test
     void overflowPushesOutTheLowestTier() {
-        RequestQueue line = new RequestQueue(2);
-        line.add(new TestRequest("school-1", 2, 1_000), 0);
-        line.add(new TestRequest("school-2", 2, 1_000), 0);
-        line.add(new TestRequest("inspector", 0, 1_000), 0);
+        RequestQueue queue = new RequestQueue(2);
+        queue.add(new TestRequest("school-1", 2, 1_000), 0);
+        queue.add(new TestRequest("school-2", 2, 1_000), 0);
+        queue.add(new TestRequest("inspector", 0, 1_000), 0);
         assertThat(rejected, contains("school-2"));
-        assertThat(line.size(), is(2));
+        assertThat(queue.size(), is(2));
     }
 
     /**
-     * More is asked than the targets bear, for twenty seconds. Each request that is kept for its whole patience and
-     * refused then has lost that second, and its caller comes back a second later into the same line.
+     * The load exceeds the capacity of the targets for twenty seconds. A request that is rejected only after its full
+     * queue timeout has lost that second, and its caller retries a second later into the same backlog.
      */
     @Test
     void standingLineKeepsRequestsForAShortTimeOnly() {
-        RequestQueue line = new RequestQueue(10);
-        line.add(new TestRequest("first", 1, 1_000), 0);
-        line.add(new TestRequest("second", 1, 3_800), 900);
-        line.advance(949);
+        RequestQueue queue = new RequestQueue(10);
+        queue.add(new TestRequest("first", 1, 1_000), 0);
+        queue.add(new TestRequest("second", 1, 3_800), 900);
+        queue.advance(949);
         assertThat(rejected, is(List.of()));
-        line.add(new TestRequest("third", 1, 5_000), 949);
-        line.advance(1_000);
+        queue.add(new TestRequest("third", 1, 5_000), 949);
+        queue.advance(1_000);
         assertThat(rejected, containsInAnyOrder("first", "second"));
-        line.advance(1_249);
-        assertThat(line.size(), is(1));
-        line.advance(1_250);
+        queue.advance(1_249);
+        assertThat(queue.size(), is(1));
+        queue.advance(1_250);
         assertThat(rejected, containsInAnyOrder("first", "second", "third"));
     }
 
     /**
-     * A long summary waits for a fast engine while slow ones have room. However long the line has stood, it is not
-     * refused for want of slots: it goes to a slow engine once it cannot be on time any more.
+     * A long request waits for a fast engine while slow ones have free slots. A backlog of any age must not cause its
+     * rejection for lack of slots: it is sent to a slow engine once it can no longer be on time.
      */
     @Test
     void requestHeldForABetterTargetIsNotRefusedByAStandingLine() {
-        RequestQueue line = new RequestQueue(10);
-        line.add(new TestRequest("usual", 1, 1_500), 0);
-        line.add(
+        RequestQueue queue = new RequestQueue(10);
+        queue.add(new TestRequest("usual", 1, 1_500), 0);
+        queue.add(
                 new TestRequest("held", 1, 4_000) {
                     @Override
                     public DispatchResult tryDispatch(long nowMillis) {
@@ -144,106 +144,106 @@
                     }
                 },
                 0);
-        line.advance(1_100);
+        queue.advance(1_100);
         assertThat(rejected, contains("usual"));
-        assertThat(line.size(), is(1));
+        assertThat(queue.size(), is(1));
     }
 
-    /** A short burst leaves some requests waiting. The line has emptied since, so the next ones get their full time. */
+    /** The queue has emptied after a short burst, so later requests get their full queue timeout. */
     @Test
     void lineThatWasWorkedOffStandsNoMore() {
-        RequestQueue line = new RequestQueue(10);
-        line.add(new TestRequest("first", 1, 5_000), 0);
-        line.advance(900);
+        RequestQueue queue = new RequestQueue(10);
+        queue.add(new TestRequest("first", 1, 5_000), 0);
+        queue.advance(900);
         freeSlots = 1;
-        line.advance(910);
-        line.add(new TestRequest("second", 1, 2_400), 1_300);
-        line.advance(1_400);
+        queue.advance(910);
+        queue.add(new TestRequest("second", 1, 2_400), 1_300);
+        queue.advance(1_400);
         assertThat(rejected, is(List.of()));
-        assertThat(line.backlogAgeMillis(1_400), is(100L));
+        assertThat(queue.backlogAgeMillis(1_400), is(100L));
     }
 
     @Test
     void endOfPatienceRefusesOnce() {
-        RequestQueue line = new RequestQueue(2);
-        line.add(new TestRequest("school", 2, 100), 0);
-        line.advance(100);
-        line.advance(200);
+        RequestQueue queue = new RequestQueue(2);
+        queue.add(new TestRequest("school", 2, 100), 0);
+        queue.advance(100);
+        queue.advance(200);
         assertThat(rejected, contains("school"));
-        assertThat(line.size(), is(0));
+        assertThat(queue.size(), is(0));
     }
 
     /**
-     * A request finds its connection refused while the line is being worked off and comes back into it at once. It must
-     * neither be lost nor counted twice.
+     * The connection of a request is refused during the pass over the queue, and the request is queued again at once.
+     * It must neither be lost nor counted twice.
      */
     @Test
     void requestThatComesBackWhileTheLineAdvancesIsKept() {
-        RequestQueue line = new RequestQueue(10);
+        RequestQueue queue = new RequestQueue(10);
         QueuedRequest returning = new TestRequest("returning", 1, 1_000) {
             @Override
             public DispatchResult tryDispatch(long nowMillis) {
                 if (dispatched.isEmpty()) {
                     dispatched.add("returning");
-                    line.add(this, nowMillis);
+                    queue.add(this, nowMillis);
                     return DispatchResult.SENT;
                 }
                 return DispatchResult.NO_TARGET;
             }
         };
-        line.add(returning, 0);
-        line.advance(10);
-        assertThat(line.size(), is(1));
-        line.advance(1_000);
+        queue.add(returning, 0);
+        queue.advance(10);
+        assertThat(queue.size(), is(1));
+        queue.advance(1_000);
         assertThat(rejected, contains("returning"));
     }
 
     /**
-     * The few engines of a rare model are all full and its requests fill the head of the line. Requests for other
-     * models have free engines and must not wait behind them until those run out of patience.
+     * All engines of a rare model are full, and its requests fill the head of the queue. Requests for other models have
+     * free engines and must not wait until the queue timeout of the requests ahead of them.
      */
     @Test
     void requestsForAFullModelDoNotHoldUpThoseForAnother() {
-        RequestQueue line = new RequestQueue(100);
+        RequestQueue queue = new RequestQueue(100);
         for (int i = 0; i < 10; i++) {
-            line.add(new FullModelRequest("rare-" + i), 0);
+            queue.add(new FullModelRequest("rare-" + i), 0);
         }
-        line.add(new TestRequest("usual", 1, 1_000), 5);
+        queue.add(new TestRequest("usual", 1, 1_000), 5);
         freeSlots = 1;
-        line.advance(10);
+        queue.advance(10);
         assertThat(dispatched, contains("usual"));
     }
 
-    /** Hundreds wait for full engines. Trying each of them at each freed slot would take the whole processor. */
+    /** Hundreds of requests wait for full engines. Trying each at each freed slot would take all processor time. */
     @Test
     void fewOfManyAlikeAreTriedAtOnce() {
-        RequestQueue line = new RequestQueue(1_000);
-        int[] tries = new int[1];
+        RequestQueue queue = new RequestQueue(1_000);
+        int[] attempts = new int[1];
         for (int i = 0; i < 500; i++) {
-            line.add(
+            queue.add(
                     new TestRequest("usual-" + i, 1, 1_000) {
                         @Override
                         public DispatchResult tryDispatch(long nowMillis) {
-                            tries[0]++;
+                            attempts[0]++;
                             return DispatchResult.NO_TARGET;
                         }
                     },
                     0);
         }
-        line.advance(10);
-        assertThat(tries[0], is(3));
-        assertThat(line.size(), is(500));
+        queue.advance(10);
+        assertThat(attempts[0], is(3));
+        assertThat(queue.size(), is(500));
     }
 
     /**
-     * Some long prompts wait for the slot of a fast engine. A shorter one behind them could go to a slow engine that
-     * stands free, and must not be passed over because of them.
+     * Some long prompts wait for a slot of a fast engine. A shorter one behind them can be served by a free slow engine
+     * and must not be skipped because of them.
      */
     @Test
     void requestsThatWaitForABetterTargetDoNotHoldUpThoseBehindThem() {
-        RequestQueue line = new RequestQueue(100);
+        RequestQueue queue = new RequestQueue(100);
         for (int i = 0; i < 10; i++) {
-            line.add(
+            queue.add(
                     new TestRequest("long-" + i, 1, 1_000) {
                         @Override
                         public DispatchResult tryDispatch(long nowMillis) {
@@ -252,11 +252,11 @@
                     },
                     0);
         }
-        line.add(new TestRequest("short", 1, 1_000), 5);
+        queue.add(new TestRequest("short", 1, 1_000), 5);
         freeSlots = 1;
-        line.advance(10);
+        queue.advance(10);
         assertThat(dispatched, contains("short"));
-        assertThat(line.size(), is(10));
+        assertThat(queue.size(), is(10));
     }
 
     private final class FullModelRequest extends TestRequest {
