--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FeedFixture.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FeedFixture.java
@@ -1,6 +1,6 @@
 package org.whinwharf.front;
 
-/** Settings of fronts of which only the item feed is tested. */
+/** Creates settings for fronts of which only the item feed is tested. */
 final class FeedFixture {
     private FeedFixture() {}
 
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemFeedTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemFeedTest.java
@@ -24,9 +24,9 @@
 
 class ItemFeedTest {
     private static final int FLEET_SIZE = 20;
-    /** Longer than any watch that works is silent. */
+    /** Age of stale items; a working watch answers sooner than this. */
     private static final int STALE_MILLIS = 5_000;
-    /** Shortest time in use within which a change must be in force. */
+    /** Shortest limit in use for applying a change. */
     private static final long MIN_APPLY_LIMIT_MILLIS = 2_000;
 
     private final MemberTable members = new MemberTable(report("front-50", 0, false));
@@ -41,9 +41,9 @@
             new Random(1));
 
     /**
-     * A front is added to a large fleet. It knows nobody yet and watches the service; then it hears of the others and
-     * stops. Until its last watch is three seconds old it would ask nobody, and serve by the configuration of that
-     * moment.
+     * Guards against a front that stops watching and serves an old configuration. A front added to a large fleet knows
+     * no member and watches the service until it receives the reports of the others. Without a request to a peer at
+     * that moment it would keep its configuration until its last watch is three seconds old.
      */
     @Test
     void frontThatStopsWatchingAsksPeersAtOnce() {
@@ -56,8 +56,8 @@
     }
 
     /**
-     * The peer that was asked is cut off from the service and keeps the question for a second, having nothing to tell.
-     * All the while others say in their reports that they know better.
+     * Guards against waiting for a peer that is cut off from the service. It holds the request for a second, because it
+     * has no newer items, while other peers already report a newer revision.
      */
     @Test
     void peerThatKnowsNewerItemsIsAskedAtOnce() {
@@ -73,7 +73,7 @@
         assertThat(feed.revision(), is(44L));
     }
 
-    /** Guards against asking the peer that answered last for ever, though it is cut off now and others answer. */
+    /** Guards against polling the last peer that answered indefinitely after it is cut off, while others answer. */
     @Test
     void peerThatDoesNotAnswerIsNotPreferred() {
         receiveFleetReports(41);
@@ -86,7 +86,7 @@
         assertThat(new HashSet<>(peers.requests).size(), greaterThan(1));
     }
 
-    /** Guards against going from peer to peer while one answers: each change costs both sides a connection. */
+    /** Guards against switching peers while one answers: each switch costs both sides a connection. */
     @Test
     void peerThatAnswersIsAskedAgain() {
         receiveFleetReports(41);
@@ -99,14 +99,15 @@
     }
 
     /**
-     * A front was cut off from the service for eight seconds and reads it again. A second and a half later an engine's
-     * entry is removed, since it leaves. Taken for one that lapsed in an outage and may come back for two seconds from
-     * now on, the engine would get requests later than two seconds after it left.
+     * Guards against sending requests to an engine for longer than two seconds after it left. A front that was cut off
+     * for eight seconds reads the service again; 1.5 seconds later the entry of an engine is removed because it leaves.
+     * If the front treated the entry as one that expired in the outage and may return for two seconds from now on, it
+     * would exceed that limit.
      */
     @Test
     void removalReportsTimeSinceServiceReturned() {
         List<Long> readableForMillis = new ArrayList<>();
-        feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
+        feed.listener((value, afterInitialSnapshot, readable) -> readableForMillis.add(readable));
         feed.applySnapshot(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
         nowMillis = 10_000;
         feed.serviceReadFailed("cut");
@@ -118,13 +119,14 @@
     }
 
     /**
-     * Entries lapse while the service is away, and their targets live: as long as it is away nothing counts as gone.
+     * Guards against dropping live targets in an outage: their entries expire while the service is unreadable, so no
+     * removal counts as final until it returns.
      */
     @Test
     void removalDuringOutageMayBeExpiry() {
         List<Long> readableForMillis = new ArrayList<>();
         feed.applySnapshot(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
-        feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
+        feed.listener((value, afterInitialSnapshot, readable) -> readableForMillis.add(readable));
         nowMillis = 10_000;
         receiveFleetReports(42);
         feed.serviceReadFailed("down");
@@ -133,12 +135,12 @@
         assertThat(readableForMillis, contains(0L));
     }
 
-    /** Guards against sending to a target that left, since this front alone was cut off from the service. */
+    /** Guards against sending to a target that left, when only this front was cut off from the service. */
     @Test
     void removalReportedByConnectedPeerIsNotExpiry() {
         List<Long> readableForMillis = new ArrayList<>();
         feed.applySnapshot(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
-        feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
+        feed.listener((value, afterInitialSnapshot, readable) -> readableForMillis.add(readable));
         nowMillis = 10_000;
         receiveFleetReports(42);
         feed.serviceReadFailed("reset");
@@ -147,14 +149,14 @@
         assertThat(readableForMillis, contains(Long.MAX_VALUE));
     }
 
-    /** Guards against dropping targets whose entries lapsed in an outage that this front did not see itself. */
+    /** Guards against dropping targets whose entries expired in an outage that only a peer saw. */
     @Test
     void removalSoonAfterOutageSeenByPeerMayBeExpiry() {
         List<Long> readableForMillis = new ArrayList<>();
         receiveFleetReports(42);
         feed.tick();
         peers.answerLast(40);
-        feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
+        feed.listener((value, afterInitialSnapshot, readable) -> readableForMillis.add(readable));
         feed.applyWatchEvents(List.of(new PublishedValue("servers/e", new byte[0], 41)), 41);
         nowMillis = 10_000;
         receiveFleetReports(42);
@@ -163,7 +165,7 @@
         assertThat(readableForMillis.get(readableForMillis.size() - 1), is(500L));
     }
 
-    /** Guards against losing what a peer saw of an outage on the way over a second front. */
+    /** Guards against losing a peer's view of an outage when a second front relays the items. */
     @Test
     void frontPropagatesReadableTimeOfService() {
         receiveFleetReports(42);
@@ -173,7 +175,7 @@
         assertThat(feed.readableForMillis(), is(800L));
     }
 
-    /** Guards against a front that was cut off from the service and asks nobody until its last watch is old. */
+    /** Guards against a front that is cut off from the service and polls no peer until its last watch times out. */
     @Test
     void frontWhoseWatchFailedAsksPeersAtOnce() {
         receiveReportsOfLowerRankedFronts();
@@ -183,7 +185,7 @@
         assertThat(peers.requests.size(), is(1));
     }
 
-    /** Guards against waiting for a watch that hangs while peers say that they know newer items. */
+    /** Guards against waiting for a hanging watch while peers report newer items. */
     @Test
     void newerPeerIsAskedWhileLocalWatchHangs() {
         receiveReportsOfLowerRankedFronts();
@@ -195,7 +197,10 @@
         assertThat(peers.requests, contains("10.0.0.70 0"));
     }
 
-    /** Guards against asking peers for what the own watch is about to bring: engines change many times a second. */
+    /**
+     * Guards against polling peers for items that the local watch is about to deliver: engines change many times a
+     * second.
+     */
     @Test
     void briefWatchDelayCausesNoPeerRequest() {
         receiveReportsOfLowerRankedFronts();
@@ -210,7 +215,7 @@
         assertThat(peers.requests, is(empty()));
     }
 
-    /** Guards against keeping to a peer that answers and is cut off from the service itself. */
+    /** Guards against preferring a peer that answers but is itself cut off from the service. */
     @Test
     void stalePeerIsNotPreferred() {
         receiveFleetReports(41);
@@ -222,7 +227,7 @@
         assertThat(new HashSet<>(peers.requests).size(), is(3));
     }
 
-    /** Guards against asking a peer that only asks others itself, by a report of the time in which it watched. */
+    /** Guards against polling a peer that stopped watching and only polls others, because of an outdated report. */
     @Test
     void peerThatAnswersAsWatchingIsPreferred() {
         receiveFleetReports(41);
@@ -237,7 +242,7 @@
         assertThat(peers.requests.get(3), is(watcher));
     }
 
-    /** Guards against taking any answer for news: a peer that is cut off says what it knew long ago. */
+    /** Guards against treating every answer as current: a peer that is cut off returns old items. */
     @Test
     void itemAgeIncludesAgeAtPeer() {
         receiveFleetReports(41);
@@ -251,7 +256,7 @@
         assertThat(feed.ageMillis(), is(600L));
     }
 
-    /** Guards against a fleet in which nobody watches, since those whose turn it is are cut off. */
+    /** Guards against a fleet without a working watch, when all designated watchers are cut off. */
     @Test
     void frontTakesOverWhenItemsAreStale() {
         receiveFleetReports(41);
@@ -268,7 +273,7 @@
         assertThat(feed.shouldWatch(), is(true));
     }
 
-    /** Guards against a whole fleet that calls the service in the moment in which its watchers are silent. */
+    /** Guards against the whole fleet calling the service at the moment its watchers fall silent. */
     @Test
     void takeOversAreStaggered() {
         receiveFleetReports(41);
@@ -280,7 +285,7 @@
         assertThat(feed.shouldWatch(), is(false));
     }
 
-    /** Hears signs of life of the same fleet, which say nothing of its revisions. */
+    /** Receives heartbeats of the same fleet, which carry no revisions. */
     private void receiveFleetHeartbeats() {
         for (int i = 1; i <= FLEET_SIZE; i++) {
             String name = String.format("front-%02d", i);
@@ -288,7 +293,7 @@
         }
     }
 
-    /** Hears of a fleet in which this front is one of those that watch. */
+    /** Receives reports of fronts that rank below this one by name, so that this one is a watcher. */
     private void receiveReportsOfLowerRankedFronts() {
         for (int i = 60; i < 60 + FLEET_SIZE; i++) {
             members.hear(report("front-" + i, 41, false), nowMillis);
@@ -329,15 +334,15 @@
         private Consumer<Optional<ItemsAnswer>> lastCallback;
 
         @Override
-        public void requestChanges(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
+        public void requestChanges(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> callback) {
             requests.add(ip + " " + waitMillis);
-            lastCallback = taker;
+            lastCallback = callback;
         }
 
         @Override
         public void itemsChanged() {}
 
-        /** Answers that an item was removed. */
+        /** Answers with the removal of an item. */
         void answerLast(long revision, String removedKey) {
             answerLast(removal(revision, removedKey));
         }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemSpreadTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemSpreadTest.java
@@ -28,21 +28,22 @@
 import org.whinwharf.wire.fleet.PublishedItem;
 
 /**
- * How long changes take to reach the last front of a fleet of ninety in five data centres, on a driven clock.
+ * Measures on a simulated clock how long changes take to reach the last front of a fleet of ninety fronts in five data
+ * centres.
  *
- * <p>A third of the fronts loses the publishing service shortly before, watchers among them, and every front works on
- * what reaches it with the delay of a small host.
+ * <p>Shortly before the changes about a third of the fronts, watchers included, is cut off from the publishing service,
+ * and every front processes messages with the delay of a small host.
  */
 class ItemSpreadTest {
     private static final int FRONTS = 90;
     private static final int DATA_CENTRES = 5;
-    /** Time within which a change must be in force. */
+    /** Limit for applying a change. */
     private static final long APPLY_LIMIT_MILLIS = 3_000;
-    /** The same for the largest fleet that is designed for. */
+    /** Limit for applying a change in the largest fleet that the design supports. */
     private static final long LARGEST_FLEET_APPLY_LIMIT_MILLIS = 6_000;
 
     private static final long OUTAGE_AT_MILLIS = 10_000;
-    /** Time from the cut until the first change is on its way. */
+    /** Time from the start of the outage until the first change is sent. */
     private static final long FIRST_CHANGE_DELAY_MILLIS = 80;
 
     private static final int VERSIONS = 3;
@@ -69,45 +70,45 @@
         }
     }
 
-    /** Who is cut off from the service, and how it answers them. */
+    /** Selects the fronts that are cut off from the service, and how their requests to it fail. */
     enum Outage {
         RESET,
         SILENT,
         NONE,
-        /** Nobody but those whose turn it is to watch, and without a word. */
+        /** Only the designated watchers are cut off; their requests time out. */
         ALL_WATCHERS
     }
 
-    /** Guards against fronts that go on by an old configuration, since they or those they ask are cut off. */
+    /** Guards against fronts that keep an old configuration because they or the peers they poll are cut off. */
     @ParameterizedTest
     @CsvSource({"RESET, 100, 65", "SILENT, 0, 65", "SILENT, 250, 65", "RESET, 100, 1360", "SILENT, 250, 1360"})
-    void changesReachEveryFrontWithinLimit(Outage cut, int lateMillis, long confirmedAfterMillis) {
+    void changesReachEveryFrontWithinLimit(Outage outage, int maxDelayMillis, long confirmedAfterMillis) {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            long[] worst = simulate(cut, lateMillis, confirmedAfterMillis, seed);
+            long[] worstMillis = simulate(outage, maxDelayMillis, confirmedAfterMillis, seed);
             assertThat(
-                    "seed " + seed + ", by version " + Arrays.toString(worst),
-                    max(worst),
+                    "seed " + seed + ", by version " + Arrays.toString(worstMillis),
+                    max(worstMillis),
                     lessThanOrEqualTo(APPLY_LIMIT_MILLIS));
         }
     }
 
-    /** Guards against a fleet that hears nothing more, since all that watch are cut off and the others are not. */
+    /** Guards against a fleet that receives no changes when all watchers, and only they, are cut off. */
     @Test
     void changesArriveWhenAllWatchersAreCutOff() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            long[] worst = simulate(Outage.ALL_WATCHERS, 100, 65, seed);
-            assertThat("seed " + seed, max(worst), lessThanOrEqualTo(LARGEST_FLEET_APPLY_LIMIT_MILLIS));
+            long[] worstMillis = simulate(Outage.ALL_WATCHERS, 100, 65, seed);
+            assertThat("seed " + seed, max(worstMillis), lessThanOrEqualTo(LARGEST_FLEET_APPLY_LIMIT_MILLIS));
         }
     }
 
     /**
-     * Guards against more watches than agreed, which the service counts, in a fleet that hears of no change for long.
+     * Guards against more watches than agreed, which the service counts, in a fleet without changes for a long time.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 100, 250})
-    void onlyAssignedWatchersWatchWhileConnected(int lateMillis) {
+    void onlyAssignedWatchersWatchWhileConnected(int maxDelayMillis) {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            simulate(Outage.NONE, lateMillis, 65, seed);
+            simulate(Outage.NONE, maxDelayMillis, 65, seed);
             assertThat("seed " + seed, unassignedWatches, is(0));
         }
     }
@@ -116,8 +117,8 @@
         return Arrays.stream(values).max().orElseThrow();
     }
 
-    /** Returns for each version how long after its confirmation the last front had it. */
-    private long[] simulate(Outage cut, int lateMillis, long confirmedAfterMillis, int seed) {
+    /** Returns for each version the time in milliseconds from its confirmation until the last front received it. */
+    private long[] simulate(Outage outage, int maxDelayMillis, long confirmedAfterMillis, int seed) {
         random = new Random(seed);
         nowMillis = 0;
         unassignedWatches = 0;
@@ -127,7 +128,7 @@
         published.clear();
         published.add(document(1));
         for (int i = 0; i < FRONTS; i++) {
-            SimulatedFront front = new SimulatedFront(i, cut, lateMillis);
+            SimulatedFront front = new SimulatedFront(i, outage, maxDelayMillis);
             fronts.add(front);
             byIp.put(front.ip, front);
         }
@@ -138,7 +139,7 @@
             confirmedAtMillis[i] = OUTAGE_AT_MILLIS + FIRST_CHANGE_DELAY_MILLIS + (i + 1) * confirmedAfterMillis;
             schedule(confirmedAtMillis[i], () -> publish(document(2 + version)));
         }
-        long[] worst = new long[VERSIONS];
+        long[] worstMillis = new long[VERSIONS];
         long endMillis = confirmedAtMillis[VERSIONS - 1] + 4 * APPLY_LIMIT_MILLIS;
         while (!events.isEmpty() && events.peek().atMillis() <= endMillis) {
             Event event = events.poll();
@@ -147,10 +148,10 @@
         }
         for (SimulatedFront front : fronts) {
             for (int i = 0; i < VERSIONS; i++) {
-                worst[i] = Math.max(worst[i], front.receivedAtMillis[i] - confirmedAtMillis[i]);
+                worstMillis[i] = Math.max(worstMillis[i], front.receivedAtMillis[i] - confirmedAtMillis[i]);
             }
         }
-        return worst;
+        return worstMillis;
     }
 
     private void publish(PublishedValue value) {
@@ -170,7 +171,7 @@
         events.add(new Event(Math.max(atMillis, nowMillis), nextEvent++, action));
     }
 
-    /** One front: its part of the news, its watch and its questions, as the processes have them. */
+    /** Simulates a front: its gossip, its watch and its requests to peers, with the timing of a real process. */
     private final class SimulatedFront implements PeerItemSource {
         private static final long GOSSIP_INTERVAL_MILLIS = 300;
         private static final long TICK_INTERVAL_MILLIS = 250;
@@ -196,9 +197,9 @@
         private Runnable watchAnswer = () -> {};
         private double linkFreeAtMillis;
 
-        SimulatedFront(int number, Outage cut, int lateMillis) {
-            this.outage = cut;
-            this.maxDelayMillis = lateMillis;
+        SimulatedFront(int number, Outage outage, int maxDelayMillis) {
+            this.outage = outage;
+            this.maxDelayMillis = maxDelayMillis;
             dataCentre = "dc" + number % DATA_CENTRES;
             name = "front-" + dataCentre + "-" + number / DATA_CENTRES;
             ip = "10.0.0." + number;
@@ -206,7 +207,7 @@
             // The first three by name are 0, 1 and 10.
             boolean watcher = inDataCentre < 2 || inDataCentre == 10;
             assignedWatcher = watcher;
-            cutOff = switch (cut) {
+            cutOff = switch (outage) {
                 case NONE -> false;
                 case ALL_WATCHERS -> watcher;
                 case RESET, SILENT -> random.nextDouble() < CUT_OFF_RATIO;
@@ -215,7 +216,7 @@
             Arrays.fill(receivedAtMillis, Long.MAX_VALUE / 2);
             feed = new ItemFeed(
                     FeedFixture.settings(name, ip, dataCentre), members, mirror, this, () -> nowMillis, random);
-            feed.listener((value, duringService, readable) -> {
+            feed.listener((value, afterInitialSnapshot, readable) -> {
                 for (int version = 0; version < VERSIONS && version + 2 <= value.revision(); version++) {
                     receivedAtMillis[version] = Math.min(receivedAtMillis[version], nowMillis);
                 }
@@ -253,10 +254,10 @@
             List<Beat> beats = members.beats(90, nowMillis);
             List<Member> alive = members.alive(nowMillis);
             for (int i = 0; i < 2 && !alive.isEmpty(); i++) {
-                SimulatedFront hearer = byIp.get(
+                SimulatedFront receiver = byIp.get(
                         alive.get(random.nextInt(alive.size())).report().getIp());
                 if (random.nextDouble() >= DATAGRAM_LOSS_RATIO) {
-                    schedule(arrivalMillis(), () -> hearer.receiveGossip(own, beats));
+                    schedule(arrivalMillis(), () -> receiver.receiveGossip(own, beats));
                 }
             }
             schedule(nowMillis + GOSSIP_INTERVAL_MILLIS, this::gossip);
@@ -311,16 +312,16 @@
             if (newestRevision() > mirror.revision()) {
                 answer[0].run();
             } else {
-                long beganAtMillis = nowMillis;
+                long startMillis = nowMillis;
                 schedule(nowMillis + WATCH_LONG_POLL_MILLIS, () -> {
                     if (watchAnswer == answer[0] && !serviceUnreachable()) {
                         answer[0].run();
                     } else if (watchAnswer == answer[0]) {
-                        long failsAtMillis = outage == Outage.RESET
+                        long failureAtMillis = outage == Outage.RESET
                                 ? nowMillis
-                                : beganAtMillis + WATCH_LONG_POLL_MILLIS + WATCH_MARGIN_MILLIS;
+                                : startMillis + WATCH_LONG_POLL_MILLIS + WATCH_MARGIN_MILLIS;
                         watchAnswer = () -> {};
-                        schedule(failsAtMillis, this::watchFailed);
+                        schedule(failureAtMillis, this::watchFailed);
                     }
                 });
             }
@@ -342,7 +343,7 @@
             schedule(nowMillis + RETRY_DELAY_MILLIS, this::watch);
         }
 
-        /** Returns when an answer that is sent now has arrived over this front's link. */
+        /** Returns the time at which an answer sent now arrives over this front's link. */
         private long answerArrivalMillis(boolean document) {
             linkFreeAtMillis = Math.max(linkFreeAtMillis, nowMillis);
             linkFreeAtMillis += (document ? DOCUMENT_BYTES : 200) / LINK_BYTES_PER_MILLI;
@@ -350,28 +351,31 @@
         }
 
         @Override
-        public void requestChanges(String peerIp, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
-            boolean[] ended = new boolean[1];
-            Consumer<Optional<ItemsAnswer>> once = answer -> {
-                if (!ended[0]) {
-                    ended[0] = true;
-                    taker.accept(answer);
+        public void requestChanges(String peerIp, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> callback) {
+            boolean[] completed = new boolean[1];
+            Consumer<Optional<ItemsAnswer>> completeOnce = answer -> {
+                if (!completed[0]) {
+                    completed[0] = true;
+                    callback.accept(answer);
                 }
             };
             SimulatedFront peer = byIp.get(peerIp);
             long afterRevision = mirror.revision();
-            schedule(arrivalMillis(), () -> peer.receiveRequest(this, afterRevision, waitMillis, once));
-            schedule(nowMillis + waitMillis + ANSWER_MARGIN_MILLIS, () -> once.accept(Optional.empty()));
+            schedule(arrivalMillis(), () -> peer.receiveRequest(this, afterRevision, waitMillis, completeOnce));
+            schedule(nowMillis + waitMillis + ANSWER_MARGIN_MILLIS, () -> completeOnce.accept(Optional.empty()));
         }
 
         private void receiveRequest(
-                SimulatedFront asker, long afterRevision, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
+                SimulatedFront requester,
+                long afterRevision,
+                long waitMillis,
+                Consumer<Optional<ItemsAnswer>> callback) {
             boolean[] answered = new boolean[1];
             Runnable answer = () -> {
                 if (!answered[0]) {
                     answered[0] = true;
                     ItemsAnswer sent = answerAfter(afterRevision);
-                    schedule(answerArrivalMillis(sent.getItemsCount() > 0), () -> taker.accept(Optional.of(sent)));
+                    schedule(answerArrivalMillis(sent.getItemsCount() > 0), () -> callback.accept(Optional.of(sent)));
                 }
             };
             if (mirror.revision() > afterRevision || waitMillis == 0) {
@@ -397,9 +401,9 @@
 
         @Override
         public void itemsChanged() {
-            List<Runnable> all = List.copyOf(pendingAnswers);
+            List<Runnable> ready = List.copyOf(pendingAnswers);
             pendingAnswers.clear();
-            all.forEach(Runnable::run);
+            ready.forEach(Runnable::run);
         }
     }
 }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/LargeItemsTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/LargeItemsTest.java
@@ -25,25 +25,25 @@
 import org.whinwharf.wire.fleet.ItemsAnswer;
 import org.whinwharf.wire.fleet.ItemsRequest;
 
-/** Large items that go from front to front over links of small hosts. */
+/** Transfers large items between fronts over the slow links of small hosts. */
 class LargeItemsTest {
     private static final String IP = "127.0.0.1";
     private static final String KEY = "configuration";
-    /** The smallest link in use, 7 Mbit/s. */
+    /** Bandwidth of the slowest link in use, 7 Mbit/s. */
     private static final long LINK_BYTES_PER_SECOND = 875_000;
-    /** Time within which a change must be in force. */
+    /** Limit for applying a change. */
     private static final long APPLY_LIMIT_MILLIS = 3_000;
 
     private static final long TIMEOUT_SECONDS = 20;
-    /** Age of what the front that answers knows. */
+    /** Age of the items at the front that serves them. */
     private static final long REPORTED_AGE_MILLIS = 700;
 
     private static final int ROUTES = 1_848;
-    /** Largest value that may be published. */
+    /** Maximum size of a published value. */
     private static final int MAX_VALUE_BYTES = 1_048_576;
 
     private final EventLoopGroup serverLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoopGroup askerLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup requesterLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final ItemMirror published = new ItemMirror();
     private final PeerItems server = new PeerItems(serverLoop, published, new FrontMetrics());
     private final int serverPort = freePort();
@@ -57,30 +57,30 @@
     void stop() {
         server.stop();
         serverLoop.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS);
-        askerLoop.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS);
+        requesterLoop.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS);
     }
 
-    /** Guards against a front that missed some versions and never again gets a whole answer over a busy link. */
+    /** Guards against a front that misses some versions and never again receives a complete answer over a busy link. */
     @Test
     void frontThatMissedVersionsCatchesUp() throws Exception {
         publish(routes(35), 35);
-        Requester asker = new Requester();
-        asker.loadAtRevision(35);
+        Requester requester = new Requester();
+        requester.loadAtRevision(35);
         publish(routes(37), 37);
         publish(routes(41), 41);
         publish(routes(44), 44);
-        // Half of the link is taken by callers.
+        // Callers use half of the link.
         try (SlowLink link = new SlowLink(IP, IP, serverPort, LINK_BYTES_PER_SECOND / 2)) {
-            long beganAtNanos = System.nanoTime();
-            Optional<ItemsAnswer> answer = asker.requestChanges(link, 1_000).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            long startNanos = System.nanoTime();
+            Optional<ItemsAnswer> answer = requester.requestChanges(link, 1_000).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertThat(answer.map(ItemsAnswer::getRevision), is(Optional.of(44L)));
             assertThat((long) answer.get().getAgeMillis(), is(REPORTED_AGE_MILLIS));
             assertThat(answer.get().getReadableMillis(), is(60_000));
-            assertThat(millisSince(beganAtNanos), lessThan(APPLY_LIMIT_MILLIS));
+            assertThat(millisSince(startNanos), lessThan(APPLY_LIMIT_MILLIS));
         }
     }
 
-    /** Guards against throwing away an answer that is still coming, and asking for all of it again. */
+    /** Guards against discarding an answer that is still arriving and requesting all of it again. */
     @Test
     void answerInProgressIsNotAborted() throws Exception {
         byte[] incompressible = new byte[MAX_VALUE_BYTES];
@@ -93,39 +93,39 @@
         }
     }
 
-    /** Guards against a change that fills the link of the front which passes it on to eight others. */
+    /** Guards against a change that saturates the link of a front that serves it to eight peers. */
     @Test
     void oneFrontServesEightPeersWithinHalfOfTheLimit() throws Exception {
         publish(routes(35), 35);
-        List<Requester> askers = new ArrayList<>();
+        List<Requester> requesters = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            Requester asker = new Requester();
-            asker.loadAtRevision(35);
-            askers.add(asker);
+            Requester requester = new Requester();
+            requester.loadAtRevision(35);
+            requesters.add(requester);
         }
         publish(routes(37), 37);
         try (SlowLink link = new SlowLink(IP, IP, serverPort, LINK_BYTES_PER_SECOND)) {
-            long beganAtNanos = System.nanoTime();
-            List<CompletableFuture<Optional<ItemsAnswer>>> answers = askers.stream()
-                    .map(asker -> asker.requestChanges(link, 1_000))
+            long startNanos = System.nanoTime();
+            List<CompletableFuture<Optional<ItemsAnswer>>> answers = requesters.stream()
+                    .map(requester -> requester.requestChanges(link, 1_000))
                     .toList();
             for (CompletableFuture<Optional<ItemsAnswer>> answer : answers) {
-                Optional<ItemsAnswer> whole = answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-                assertThat(whole.map(ItemsAnswer::getRevision), is(Optional.of(37L)));
+                Optional<ItemsAnswer> complete = answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                assertThat(complete.map(ItemsAnswer::getRevision), is(Optional.of(37L)));
             }
-            assertThat(millisSince(beganAtNanos), lessThan(APPLY_LIMIT_MILLIS / 2));
+            assertThat(millisSince(startNanos), lessThan(APPLY_LIMIT_MILLIS / 2));
         }
     }
 
-    /** Guards against sending an asker of an earlier release what it can't read. */
+    /** Guards against sending deflated answers to a requester of an earlier release, which cannot read them. */
     @Test
     void requesterWithoutDeflateGetsPlainItems() throws Exception {
         publish(routes(35), 35);
         try (Socket socket = new Socket(IP, serverPort)) {
-            byte[] question = ItemsRequest.newBuilder().build().toByteArray();
+            byte[] request = ItemsRequest.newBuilder().build().toByteArray();
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-            out.writeInt(question.length);
-            out.write(question);
+            out.writeInt(request.length);
+            out.write(request);
             DataInputStream in = new DataInputStream(socket.getInputStream());
             ItemsAnswer answer = ItemsAnswer.parseFrom(in.readNBytes(in.readInt()));
             assertThat(answer.getItems(0).getValue().toByteArray(), is(routes(35)));
@@ -145,7 +145,7 @@
                 .get();
     }
 
-    /** Returns a configuration of many routes with names of their own, as an operator writes it. */
+    /** Returns a configuration with many distinct routes, as an operator writes it. */
     private byte[] routes(long version) {
         Random names = new Random(7);
         StringBuilder text = new StringBuilder("{\"version\":" + version + ",\"routes\":[");
@@ -158,8 +158,8 @@
         return text.append("{}]}").toString().getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static long millisSince(long beganAtNanos) {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganAtNanos);
+    private static long millisSince(long startNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
     private static int freePort() throws Exception {
@@ -185,10 +185,10 @@
         }
     }
 
-    /** A front that asks. */
+    /** A front that requests items from the server. */
     private final class Requester {
         private final ItemMirror mirror = new ItemMirror();
-        private final PeerItems items = new PeerItems(askerLoop, mirror, new FrontMetrics());
+        private final PeerItems items = new PeerItems(requesterLoop, mirror, new FrontMetrics());
 
         void loadAtRevision(long revision) {
             mirror.replace(published.all(), revision);
@@ -196,7 +196,7 @@
 
         CompletableFuture<Optional<ItemsAnswer>> requestChanges(SlowLink link, long waitMillis) {
             CompletableFuture<Optional<ItemsAnswer>> answer = new CompletableFuture<>();
-            askerLoop.execute(() -> items.requestChanges(IP, link.port(), waitMillis, answer::complete));
+            requesterLoop.execute(() -> items.requestChanges(IP, link.port(), waitMillis, answer::complete));
             return answer;
         }
     }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/PeerItemsTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/PeerItemsTest.java
@@ -36,7 +36,7 @@
         loop.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS);
     }
 
-    /** Guards against a connection for each question: every front of a large fleet asks a peer once a second. */
+    /** Guards against a connection per request: every front of a large fleet polls a peer once a second. */
     @Test
     void requestsToOnePeerShareAConnection() throws Exception {
         try (FakePeer peer = new FakePeer(Integer.MAX_VALUE)) {
@@ -47,20 +47,20 @@
         }
     }
 
-    /** Guards against a peer that is asked over a connection which it has closed for ever after. */
+    /** Guards against sending all later requests over a connection that the peer has closed. */
     @Test
     void closedConnectionIsReplaced() throws Exception {
         try (FakePeer peer = new FakePeer(1)) {
             peer.requestChanges();
-            Optional<ItemsAnswer> afterClose = peer.requestChanges();
-            if (afterClose.isEmpty()) {
+            Optional<ItemsAnswer> answerAfterClose = peer.requestChanges();
+            if (answerAfterClose.isEmpty()) {
                 peer.requestChanges();
             }
             assertThat(peer.requestsByConnection, contains(1, 1));
         }
     }
 
-    /** A peer that answers so many questions on each connection before it closes it. */
+    /** A peer that answers a limited number of requests per connection and then closes the connection. */
     private final class FakePeer implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName(IP));
         private final List<Integer> requestsByConnection = new CopyOnWriteArrayList<>();
@@ -85,7 +85,7 @@
                     requestsByConnection.add(0);
                     answer(socket);
                 } catch (IOException e) {
-                    // The asker closed its end, or the test is over.
+                    // The requester closed the connection, or the test ended.
                     continue;
                 }
             }
@@ -94,13 +94,13 @@
         private void answer(Socket socket) throws IOException {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-            int connection = requestsByConnection.size() - 1;
-            for (int questions = 1; questions <= maxRequests; questions++) {
-                byte[] question = in.readNBytes(in.readInt());
-                if (ItemsRequest.parseFrom(question).getWaitMillis() != 0) {
-                    throw new EOFException("unexpected question");
+            int connectionIndex = requestsByConnection.size() - 1;
+            for (int requests = 1; requests <= maxRequests; requests++) {
+                byte[] request = in.readNBytes(in.readInt());
+                if (ItemsRequest.parseFrom(request).getWaitMillis() != 0) {
+                    throw new EOFException("unexpected request: it allows the peer to wait");
                 }
-                requestsByConnection.set(connection, questions);
+                requestsByConnection.set(connectionIndex, requests);
                 byte[] answer = ItemsAnswer.newBuilder().setRevision(1).build().toByteArray();
                 out.writeInt(answer.length);
                 out.write(answer);
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/SlowLink.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/SlowLink.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** A relay whose answers pass one link of limited bandwidth, which all its connections share. */
+/** A TCP relay that sends all answers over one shared link of limited bandwidth; requests pass unthrottled. */
 final class SlowLink implements AutoCloseable {
     private static final int CHUNK_BYTES = 4_096;
-    /** Receive buffer of the far side, so that no more than this is on its way beyond the link. */
+    /** Receive buffer towards the server; limits the bytes in flight that the simulated link does not count. */
     private static final int RECEIVE_BUFFER_BYTES = 16 * 1_024;
 
     private final ServerSocket server;
@@ -39,30 +39,30 @@
 
     private void accept() throws IOException {
         while (!server.isClosed()) {
-            Socket near = server.accept();
-            Socket far = new Socket();
-            far.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
-            far.connect(new InetSocketAddress(toIp, toPort));
-            sockets.add(near);
-            sockets.add(far);
-            start("questions", () -> pump(near, far, false));
-            start("answers", () -> pump(far, near, true));
+            Socket client = server.accept();
+            Socket upstream = new Socket();
+            upstream.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
+            upstream.connect(new InetSocketAddress(toIp, toPort));
+            sockets.add(client);
+            sockets.add(upstream);
+            start("requests", () -> pump(client, upstream, false));
+            start("answers", () -> pump(upstream, client, true));
         }
     }
 
-    private void pump(Socket from, Socket to, boolean slow) throws IOException {
+    private void pump(Socket from, Socket to, boolean throttled) throws IOException {
         try (from;
                 to) {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
-            byte[] piece = new byte[CHUNK_BYTES];
-            int count = in.read(piece);
+            byte[] chunk = new byte[CHUNK_BYTES];
+            int count = in.read(chunk);
             while (count >= 0) {
-                if (slow) {
+                if (throttled) {
                     throttle(count);
                 }
-                out.write(piece, 0, count);
-                count = in.read(piece);
+                out.write(chunk, 0, count);
+                count = in.read(chunk);
             }
         }
     }
@@ -73,10 +73,10 @@
             linkFreeAtNanos = Math.max(linkFreeAtNanos, System.nanoTime()) + (long) (bytes * nanosPerByte);
             untilNanos = linkFreeAtNanos;
         }
-        long leftNanos = untilNanos - System.nanoTime();
-        while (leftNanos > 0) {
-            LockSupport.parkNanos(leftNanos);
-            leftNanos = untilNanos - System.nanoTime();
+        long remainingNanos = untilNanos - System.nanoTime();
+        while (remainingNanos > 0) {
+            LockSupport.parkNanos(remainingNanos);
+            remainingNanos = untilNanos - System.nanoTime();
         }
     }
 
@@ -84,13 +84,13 @@
         void run() throws IOException;
     }
 
-    private static void start(String name, IoTask work) {
+    private static void start(String name, IoTask task) {
         Thread thread = new Thread(
                 () -> {
                     try {
-                        work.run();
+                        task.run();
                     } catch (IOException e) {
-                        // One end closed its connection, or the test is over.
+                        // One side closed its connection, or the test ended.
                         return;
                     }
                 },
