--- a/org.whinwharf.bench/src/main/java/org/whinwharf/bench/capacity/CoordinatorLoad.java
+++ b/org.whinwharf.bench/src/main/java/org/whinwharf/bench/capacity/CoordinatorLoad.java
@@ -22,7 +22,7 @@
 import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.quota.QuotaLedger;
 import org.whinwharf.traffic.target.ImmutableTarget;
-import org.whinwharf.traffic.target.PromptCache;
+import org.whinwharf.traffic.target.PromptCacheIndex;
 import org.whinwharf.traffic.target.PromptPart;
 import org.whinwharf.traffic.target.TargetState;
 import org.whinwharf.wire.fleet.RunEvent;
@@ -72,7 +72,7 @@
         for (int i = 0; i < engines; i++) {
             targets.put("engine-" + i, new TargetState(target("engine-" + i, slots)));
         }
-        PromptCache prompts = new PromptCache();
+        PromptCacheIndex prompts = new PromptCacheIndex();
         coordinator = new Coordinator(ImmutableCoordinatorDependencies.builder()
                 .localName("front-0")
                 .targetSelector(new TargetSelector(prompts, target -> 0, () -> 0))
@@ -82,7 +82,7 @@
                 .quotas(new QuotaLedger(true))
                 .decisionListener(this)
                 .targetOutcomeListener(this)
-                .loadListener((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
+                .loadListener((id, load) -> targets.get(id).updateCoordinatedLoad(load.running(), load.prefillTokens()))
                 .random(random::nextDouble)
                 .build());
     }
@@ -96,8 +96,8 @@
                 .dataCentre("a")
                 .slots(slots)
                 .draining(false)
-                .coldLeftMillis(0)
-                .bornUnixMillis(1)
+                .coldRemainingMillis(0)
+                .startedUnixMillis(1)
                 .build();
     }
 
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FrontFixture.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FrontFixture.java
@@ -109,8 +109,8 @@
                         .dataCentre("zilina-a")
                         .slots(slots)
                         .draining(false)
-                        .coldLeftMillis(0)
-                        .bornUnixMillis(1)
+                        .coldRemainingMillis(0)
+                        .startedUnixMillis(1)
                         .build(),
                 false));
     }
@@ -159,9 +159,9 @@
                 .kind(kind)
                 .addServices(new ServiceWeight("service", 1))
                 .timeoutMillis(timeoutMillis)
-                .objectiveMillis(objectiveMillis)
+                .latencyObjectiveMillis(objectiveMillis)
                 .tierRank(0)
-                .attempts(attempts)
+                .maxAttempts(attempts)
                 .publicAccess(true)
                 .resumable(resumable)
                 .gapObjectiveMillis(200)
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemFeedTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemFeedTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.whinwharf.traffic.items.ItemMirror;
 import org.whinwharf.traffic.items.PublishedValue;
-import org.whinwharf.traffic.member.Beat;
+import org.whinwharf.traffic.member.MemberHeartbeat;
 import org.whinwharf.traffic.member.MemberTable;
 import org.whinwharf.wire.fleet.ItemsAnswer;
 import org.whinwharf.wire.fleet.MemberPhase;
@@ -289,20 +289,20 @@
     private void receiveFleetHeartbeats() {
         for (int i = 1; i <= FLEET_SIZE; i++) {
             String name = String.format("front-%02d", i);
-            members.hear(new Beat(name.hashCode(), 1, nowMillis, MemberPhase.MEMBER_SERVING), nowMillis);
+            members.receive(new MemberHeartbeat(name.hashCode(), 1, nowMillis, MemberPhase.MEMBER_SERVING), nowMillis);
         }
     }
 
     /** Receives reports of fronts that rank below this one by name, so that this one is a watcher. */
     private void receiveReportsOfLowerRankedFronts() {
         for (int i = 60; i < 60 + FLEET_SIZE; i++) {
-            members.hear(report("front-" + i, 41, false), nowMillis);
+            members.receive(report("front-" + i, 41, false), nowMillis);
         }
     }
 
     private void receiveFleetReports(long revision) {
         for (int i = 1; i <= FLEET_SIZE; i++) {
-            members.hear(report(String.format("front-%02d", i), revision, i <= 3), nowMillis);
+            members.receive(report(String.format("front-%02d", i), revision, i <= 3), nowMillis);
         }
     }
 
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemSpreadTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemSpreadTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.whinwharf.traffic.items.ItemMirror;
 import org.whinwharf.traffic.items.PublishedValue;
-import org.whinwharf.traffic.member.Beat;
 import org.whinwharf.traffic.member.Member;
+import org.whinwharf.traffic.member.MemberHeartbeat;
 import org.whinwharf.traffic.member.MemberTable;
 import org.whinwharf.wire.fleet.ItemsAnswer;
 import org.whinwharf.wire.fleet.MemberPhase;
@@ -237,7 +237,7 @@
 
         void start() {
             for (SimulatedFront other : fronts) {
-                members.hear(other.report(), 0);
+                members.receive(other.report(), 0);
             }
             schedule(random.nextInt((int) GOSSIP_INTERVAL_MILLIS), this::gossip);
             schedule(random.nextInt((int) TICK_INTERVAL_MILLIS), this::tick);
@@ -249,9 +249,9 @@
         }
 
         private void gossip() {
-            members.report(report().toBuilder());
-            MemberReport own = members.own();
-            List<Beat> beats = members.beats(90, nowMillis);
+            members.updateLocalReport(report().toBuilder());
+            MemberReport own = members.localReport();
+            List<MemberHeartbeat> beats = members.heartbeats(90, nowMillis);
             List<Member> alive = members.alive(nowMillis);
             for (int i = 0; i < 2 && !alive.isEmpty(); i++) {
                 SimulatedFront receiver = byIp.get(
@@ -263,11 +263,11 @@
             schedule(nowMillis + GOSSIP_INTERVAL_MILLIS, this::gossip);
         }
 
-        private void receiveGossip(MemberReport report, List<Beat> beats) {
-            if (members.hear(report, nowMillis)) {
+        private void receiveGossip(MemberReport report, List<MemberHeartbeat> beats) {
+            if (members.receive(report, nowMillis)) {
                 feed.reportReceived(report);
             }
-            beats.forEach(beat -> members.hear(beat, nowMillis));
+            beats.forEach(beat -> members.receive(beat, nowMillis));
         }
 
         private void tick() {
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/SilenceWatchTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/SilenceWatchTest.java
@@ -50,8 +50,8 @@
                 .dataCentre("z")
                 .slots(4)
                 .draining(false)
-                .coldLeftMillis(0)
-                .bornUnixMillis(1)
+                .coldRemainingMillis(0)
+                .startedUnixMillis(1)
                 .build();
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/AdmissionControl.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/AdmissionControl.java
@@ -62,11 +62,11 @@
         }
         Route route = found.get();
         Optional<Organisation> organisation = head.apiKey().flatMap(catalog.get()::organisationOfKey);
-        if (catalog.get().asksForKeys() && !route.publicAccess() && organisation.isEmpty()) {
+        if (catalog.get().requiresKeys() && !route.publicAccess() && organisation.isEmpty()) {
             return rejected(ErrorKind.UNKNOWN_CREDENTIAL, 0, organisation);
         }
         long tokens = quotaTokens(head, organisation);
-        String service = route.serviceOf(head.attemptId());
+        String service = route.selectService(head.attemptId());
         boolean elsewhere = organisation.isPresent() && front.coordination().hasRemoteCoordinator(service);
         Optional<ErrorResponse> refusal =
                 elsewhere ? Optional.empty() : consumeQuota(organisation, service, tokens, nowMillis);
@@ -82,7 +82,7 @@
         if (organisation.isEmpty() || tryConsumeQuota(organisation.get().name(), service, tokens, nowMillis)) {
             return Optional.empty();
         }
-        long comeBackMillis = front.quotas().comeBackMillis(organisation.get().name());
+        long comeBackMillis = front.quotas().retryAfterMillis(organisation.get().name());
         return Optional.of(
                 new ErrorResponse(ErrorKind.OVER_QUOTA, Math.max(comeBackMillis, Front.NOT_READY_RETRY_AFTER_MILLIS)));
     }
@@ -90,7 +90,7 @@
     private boolean tryConsumeQuota(String organisation, String service, long tokens, long nowMillis) {
         return front.coordination().isLocalCoordinator(service)
                 ? front.quotas().tryAdmit(organisation, tokens, nowMillis)
-                : front.quotas().tryAdmitAlone(organisation, tokens, nowMillis);
+                : front.quotas().tryAdmitUncoordinated(organisation, tokens, nowMillis);
     }
 
     private Admitted admitted(
@@ -104,7 +104,7 @@
         long allowedMillis =
                 Math.min(route.timeoutMillis(), head.timeoutMillis().orElse(route.timeoutMillis()));
         OptionalInt organisationRank = organisation.map(Organisation::tierRank).orElse(OptionalInt.empty());
-        int tierRank = TierRank.of(organisationRank, route.tierRank());
+        int tierRank = TierRank.combine(organisationRank, route.tierRank());
         return new Admitted(
                 route,
                 organisation,
@@ -113,14 +113,14 @@
                 tokens,
                 quotaTaken,
                 nowMillis + allowedMillis,
-                nowMillis + QueueTimeouts.queueTimeoutMillis(route.objectiveMillis(), allowedMillis));
+                nowMillis + QueueTimeouts.queueTimeoutMillis(route.latencyObjectiveMillis(), allowedMillis));
     }
 
     private static long quotaTokens(RequestHead head, Optional<Organisation> organisation) {
         if (head.hasTokenCounts()) {
             return head.promptTokens() + head.answerTokens();
         }
-        return organisation.map(Organisation::plainRequestTokens).orElse(0L);
+        return organisation.map(Organisation::defaultRequestTokens).orElse(0L);
     }
 
     private static Rejected rejected(ErrorKind kind, long comeBackMillis, Optional<Organisation> organisation) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
@@ -116,7 +116,7 @@
         quotaConsumed = admitted.quotaConsumed();
         deadlineAtMillis = admitted.deadlineAtMillis();
         queueTimeoutAtMillis = admitted.queueTimeoutAtMillis();
-        front.retryBudget(service).request(arrivedAtMillis);
+        front.retryBudget(service).recordRequest(arrivedAtMillis);
         place(arrivedAtMillis);
     }
 
@@ -173,7 +173,7 @@
     public void granted(Candidate chosen) {
         if (!quotaConsumed) {
             organisation.ifPresent(
-                    known -> front.quotas().admittedByCoordinator(known.name(), quotaTokens, front.nowMillis()));
+                    known -> front.quotas().recordCoordinatorAdmission(known.name(), quotaTokens, front.nowMillis()));
             quotaConsumed = true;
         }
         connect(chosen, ticket, front.nowMillis());
@@ -215,7 +215,7 @@
 
     @Override
     public long backlogTimeoutAtMillis() {
-        long onTimeMillis = QueueTimeouts.onTimeMillis(route.objectiveMillis());
+        long onTimeMillis = QueueTimeouts.onTimeMillis(route.latencyObjectiveMillis());
         return dispatchCount > 0
                 ? queueTimeoutAtMillis
                 : arrivedAtMillis + QueueTimeouts.backlogTimeoutMillis(onTimeMillis);
@@ -223,7 +223,7 @@
 
     @Override
     public long onTimeUntilMillis() {
-        return arrivedAtMillis + QueueTimeouts.onTimeMillis(route.objectiveMillis());
+        return arrivedAtMillis + QueueTimeouts.onTimeMillis(route.latencyObjectiveMillis());
     }
 
     @Override
@@ -258,7 +258,7 @@
         ticket = placement;
         String targetId = chosen.state().target().id();
         targetRun = new TargetRun(front.entry(targetId), chosen, placement);
-        front.prompts().reads(head.promptParts(), targetId, nowMillis);
+        front.prompts().recordPrefill(head.promptParts(), targetId, nowMillis);
         targetRun.entry().pool().acquire(!route.idempotent(), this::connectionAcquired);
     }
 
@@ -297,8 +297,8 @@
         possibleExecutions++;
         triedTargetIds.add(target.id());
         targetRun.sent(nowMillis);
-        silenceWatch =
-                new SilenceWatch(route.objectiveMillis(), targetRun.candidate().firstEventMillis(), nowMillis);
+        silenceWatch = new SilenceWatch(
+                route.latencyObjectiveMillis(), targetRun.candidate().firstEventMillis(), nowMillis);
         Optional<String> resumeAfter =
                 responseAssembler.streamStarted() ? responseAssembler.lastEventId() : head.lastEventId();
         DispatchParameters dispatch = new DispatchParameters(
@@ -423,7 +423,7 @@
         if (canRetry(nowMillis)) {
             front.metrics().retried();
             FrontLog.retried(this, targetRun.entry().state().target(), failure.name());
-            queueTimeoutAtMillis = Math.max(queueTimeoutAtMillis, nowMillis + route.objectiveMillis());
+            queueTimeoutAtMillis = Math.max(queueTimeoutAtMillis, nowMillis + route.latencyObjectiveMillis());
             place(nowMillis);
             return;
         }
@@ -439,15 +439,15 @@
     private boolean canRetry(long nowMillis) {
         return route.idempotent()
                 && responseAssembler.canResume()
-                && dispatchCount < route.attempts()
+                && dispatchCount < route.maxAttempts()
                 && deadlineAtMillis - nowMillis > MIN_REMAINING_MILLIS
-                && front.retryBudget(service).tryRepeat(nowMillis, front.retryAllowance());
+                && front.retryBudget(service).tryRetry(nowMillis, front.retryAllowance());
     }
 
     private void retryElsewhereOrReject(long nowMillis) {
         responseAssembler.discardIncomplete();
-        boolean budget = dispatchCount < route.attempts()
-                && front.retryBudget(service).tryRepeat(nowMillis, front.retryAllowance());
+        boolean budget = dispatchCount < route.maxAttempts()
+                && front.retryBudget(service).tryRetry(nowMillis, front.retryAllowance());
         if (budget && nowMillis < queueTimeoutAtMillis) {
             place(nowMillis);
         } else if (responseAssembler.streamStarted()) {
@@ -494,7 +494,7 @@
         boolean stuck = silenceWatch.requestStalled(responseAssembler.streamStarted(), nowMillis);
         if (stuck
                 && route.idempotent()
-                && dispatchCount < route.attempts()
+                && dispatchCount < route.maxAttempts()
                 && front.hasUntriedTarget(service, triedTargetIds)) {
             connection.cancel();
             connection = null;
@@ -558,7 +558,7 @@
             return;
         }
         if (quotaConsumed && !mayHaveExecuted()) {
-            organisation.ifPresent(known -> front.quotas().giveBack(known.name(), quotaTokens));
+            organisation.ifPresent(known -> front.quotas().refund(known.name(), quotaTokens));
         }
         front.metrics().failed(error.kind());
         FrontLog.refused(this, error);
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
@@ -101,7 +101,7 @@
         this.ticker = ticker;
         this.coordinatedServices = coordinatedServices;
         coordinator = coordinators.apply(new ReplySender());
-        nextId = members.own().getIncarnation() << 20;
+        nextId = members.localReport().getIncarnation() << 20;
         datagrams.addListener(this::receive);
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FleetStateExchange.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FleetStateExchange.java
@@ -58,17 +58,17 @@
         for (TargetEntry entry : targets.all()) {
             // Large fleets propagate reports too slowly for placement decisions; there the coordinator keeps these
             // counts.
-            if (entry.state().ownRunning() > 0 && !members.large()) {
+            if (entry.state().localInFlight() > 0 && !members.largeFleet()) {
                 report.addUsesBuilder()
                         .setTargetDigest(entry.state().target().digest())
-                        .setRunning(entry.state().ownRunning())
-                        .setPrefillTokens((int) entry.state().ownPrefillTokens());
+                        .setRunning(entry.state().localInFlight())
+                        .setPrefillTokens((int) entry.state().localPrefillTokens());
             }
         }
         quotas.admittedTotals()
                 .forEach((digest, total) ->
                         report.addQuotasBuilder().setOrganisationDigest(digest).setAdmittedTotal(total));
-        members.report(report);
+        members.updateLocalReport(report);
     }
 
     /** Applies another member's report: its admitted quota totals at once, its load at the next aggregation. */
@@ -76,7 +76,7 @@
         remoteLoadsChanged = true;
         feed.reportReceived(report);
         report.getQuotasList()
-                .forEach(quota -> quotas.heard(
+                .forEach(quota -> quotas.receiveTotal(
                         report.getName(),
                         report.getIncarnation(),
                         quota.getOrganisationDigest(),
@@ -92,7 +92,7 @@
      * @param nowMillis monotonic clock in milliseconds
      */
     void updateRemoteLoads(long nowMillis) {
-        long intervalMillis = remoteLoadsChanged && !members.large() ? 0 : MemberTable.SILENT_MILLIS;
+        long intervalMillis = remoteLoadsChanged && !members.largeFleet() ? 0 : MemberTable.SUSPECT_TIMEOUT_MILLIS;
         if (nowMillis - aggregatedAtMillis < intervalMillis) {
             return;
         }
@@ -109,7 +109,7 @@
         int[] noLoad = new int[2];
         for (TargetEntry entry : targets.all()) {
             int[] sums = loadsByTarget.getOrDefault(entry.state().target().digest(), noLoad);
-            entry.state().others(sums[0], sums[1]);
+            entry.state().updateRemoteLoad(sums[0], sums[1]);
         }
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
@@ -35,7 +35,7 @@
 import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.quota.QuotaLedger;
 import org.whinwharf.traffic.retry.RetryBudget;
-import org.whinwharf.traffic.target.PromptCache;
+import org.whinwharf.traffic.target.PromptCacheIndex;
 import org.whinwharf.traffic.target.Target;
 import org.whinwharf.wire.fleet.MemberPhase;
 import org.whinwharf.wire.fleet.MemberReport;
@@ -78,7 +78,7 @@
     private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final MemberTable members;
     private final TargetRegistry targets;
-    private final PromptCache prompts = new PromptCache();
+    private final PromptCacheIndex prompts = new PromptCacheIndex();
     private final ColdShares coldShares;
     private final TargetSelector placement;
     private final QuotaLedger quotas;
@@ -124,7 +124,7 @@
         placement = new TargetSelector(
                 prompts,
                 this::localColdAllowance,
-                () -> members.large() ? random.nextDouble() * PREDICTION_JITTER : 0,
+                () -> members.largeFleet() ? random.nextDouble() * PREDICTION_JITTER : 0,
                 settings.policy());
         ItemMirror mirror = new ItemMirror();
         peerItems = new PeerItems(loop, mirror, metrics);
@@ -182,7 +182,7 @@
         EventLog.event(LogEvent.STARTED)
                 .with(EventField.HOST, settings.name())
                 .with(EventField.ROLE, "front")
-                .with(EventField.INCARNATION, members.own().getIncarnation())
+                .with(EventField.INCARNATION, members.localReport().getIncarnation())
                 .call();
     }
 
@@ -288,7 +288,7 @@
      * @return IP numbers and ports
      */
     public List<String> callerAddresses(int most) {
-        return members.drawServing(ticker.nowMillis(), most, random).stream()
+        return members.sampleServing(ticker.nowMillis(), most, random).stream()
                 .map(MemberReport::getCallerAddress)
                 .toList();
     }
@@ -394,12 +394,12 @@
         feed.tick();
         targets.sweep();
         List.copyOf(connections).forEach(connection -> connection.checkTimeouts(nowMillis));
-        members.forget(nowMillis)
+        members.expire(nowMillis)
                 .forEach(name -> EventLog.event(LogEvent.MEMBER_FORGOTTEN)
                         .with(EventField.PEER, name)
                         .call());
-        quotas.fleet(1 + members.alive(nowMillis).size());
-        quotas.reachableShare(members.reachableShare(nowMillis), nowMillis);
+        quotas.updateProcessCount(1 + members.alive(nowMillis).size());
+        quotas.updateReachableShare(members.reachableShare(nowMillis), nowMillis);
     }
 
     private void drain(long nowMillis) {
@@ -491,7 +491,7 @@
         return quotas;
     }
 
-    PromptCache prompts() {
+    PromptCacheIndex prompts() {
         return prompts;
     }
 
@@ -555,7 +555,7 @@
     }
 
     void targetAnswered(TargetEntry entry) {
-        entry.state().health().succeeded();
+        entry.state().health().recordSuccess();
     }
 
     void exchangeBegan(CallerExchange exchange) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Gossip.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Gossip.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import org.whinwharf.time.Ticker;
-import org.whinwharf.traffic.member.Beat;
 import org.whinwharf.traffic.member.Member;
+import org.whinwharf.traffic.member.MemberHeartbeat;
 import org.whinwharf.traffic.member.MemberTable;
 import org.whinwharf.wire.fleet.FleetDatagram;
 import org.whinwharf.wire.fleet.MemberReport;
@@ -71,7 +71,7 @@
     /** Sends the local report to peers, and as much of the other members' state as fits. */
     void runRound() {
         roundCount++;
-        if (members.large()) {
+        if (members.largeFleet()) {
             if (roundCount % LARGE_FLEET_ROUND_DIVISOR == 0) {
                 runLargeFleetRound();
             }
@@ -91,13 +91,14 @@
         members.all().forEach(member -> ips.add(member.report().getIp()));
         boolean fewPeersKnown = ips.size() < 2;
         addSeeds(ips, fewPeersKnown);
-        FleetDatagram.Builder datagram = newDatagram().addMembers(members.own());
+        FleetDatagram.Builder datagram = newDatagram().addMembers(members.localReport());
         addReports(datagram, shuffledAliveMembers());
         send(datagram.setRosterWanted(fewPeersKnown || unknownMemberSeen).build(), ips);
     }
 
     private void runLargeFleetRound() {
-        FleetDatagram reportOnly = newDatagram().addMembers(members.own()).build();
+        FleetDatagram reportOnly =
+                newDatagram().addMembers(members.localReport()).build();
         Set<String> coordinators = new LinkedHashSet<>(coordinatorIps.get());
         coordinators.remove(settings.ip());
         datagrams.send(reportOnly, coordinators);
@@ -110,8 +111,8 @@
                     .getIp());
         }
         addSeeds(ips, false);
-        FleetDatagram.Builder datagram = newDatagram().addMembers(members.own());
-        for (Beat beat : members.beats(MAX_HEARTBEATS, ticker.nowMillis())) {
+        FleetDatagram.Builder datagram = newDatagram().addMembers(members.localReport());
+        for (MemberHeartbeat beat : members.heartbeats(MAX_HEARTBEATS, ticker.nowMillis())) {
             datagram.addBeatMembers(beat.nameDigest())
                     .addBeatIncarnations(beat.incarnationDigest())
                     .addBeatSequences((int) beat.sequence())
@@ -159,17 +160,17 @@
     private void handleDatagram(FleetDatagram datagram, String senderIp) {
         long nowMillis = ticker.nowMillis();
         for (MemberReport report : datagram.getMembersList()) {
-            if (members.hear(report, nowMillis)) {
+            if (members.receive(report, nowMillis)) {
                 listener.reportReceived(report);
             }
         }
         for (int i = 0; i < datagram.getBeatMembersCount(); i++) {
-            Beat beat = new Beat(
+            MemberHeartbeat beat = new MemberHeartbeat(
                     datagram.getBeatMembers(i),
                     datagram.getBeatIncarnations(i),
                     datagram.getBeatSequences(i),
                     datagram.getBeatPhases(i));
-            unknownMemberSeen |= !members.hear(beat, nowMillis);
+            unknownMemberSeen |= !members.receive(beat, nowMillis);
         }
         if (datagram.getRosterWanted()) {
             sendRoster(senderIp);
@@ -179,7 +180,7 @@
     private void sendRoster(String ip) {
         List<Member> remaining = shuffledAliveMembers();
         do {
-            FleetDatagram.Builder datagram = newDatagram().addMembers(members.own());
+            FleetDatagram.Builder datagram = newDatagram().addMembers(members.localReport());
             List<Member> notAdded = addReports(datagram, remaining);
             datagrams.send(datagram.build(), ip);
             remaining = notAdded.size() < remaining.size() ? notAdded : List.of();
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRegistry.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRegistry.java
@@ -66,8 +66,8 @@
             known = null;
         }
         boolean reborn = known != null
-                && (known.state().target().bornUnixMillis() != target.bornUnixMillis()
-                        || known.state().gone(nowMillis));
+                && (known.state().target().startedUnixMillis() != target.startedUnixMillis()
+                        || known.state().removed(nowMillis));
         if (known == null) {
             TargetConnectionPool pool = new TargetConnectionPool(loop, dialect, ticker, target.ip(), target.port());
             known = new TargetEntry(new TargetState(target), pool);
@@ -79,12 +79,12 @@
             FrontLog.published(target, target.draining() ? "leaving" : "reborn");
         }
         known.state().update(target);
-        long coldMillis = target.coldLeftMillis();
+        long coldMillis = target.coldRemainingMillis();
         if (reborn) {
             coldMillis = Math.max(coldMillis, coldStartMillis(target.service()));
         }
         if (coldMillis > 0) {
-            known.state().coldUntil(nowMillis + coldMillis + COLD_MARGIN_MILLIS);
+            known.state().markColdUntil(nowMillis + coldMillis + COLD_MARGIN_MILLIS);
         }
         if (target.draining()) {
             known.pool().closeIdle();
@@ -95,7 +95,7 @@
     void remove(String targetId, long goneAtMillis) {
         TargetEntry entry = entries.get(targetId);
         if (entry != null) {
-            entry.state().goneAt(goneAtMillis);
+            entry.state().markRemovedAt(goneAtMillis);
             FrontLog.published(entry.state().target(), "removed");
         }
     }
@@ -109,7 +109,7 @@
         for (TargetEntry entry : entries.values()) {
             Target target = entry.state().target();
             if (returned.contains(target.dataCentre())) {
-                entry.state().coldUntil(nowMillis + coldStartMillis(target.service()) + COLD_MARGIN_MILLIS);
+                entry.state().markColdUntil(nowMillis + coldStartMillis(target.service()) + COLD_MARGIN_MILLIS);
             }
         }
     }
@@ -150,7 +150,7 @@
     }
 
     private void failed(TargetEntry entry, boolean certain, String reason) {
-        if (entry.state().health().failed(ticker.nowMillis(), certain)) {
+        if (entry.state().health().recordFailure(ticker.nowMillis(), certain)) {
             entry.pool().closeIdle();
             metrics.ejected();
             FrontLog.ejected(entry.state().target(), reason);
@@ -164,7 +164,7 @@
         if (ejected + 1 > peers.size() * MAX_EJECTED_SHARE) {
             return;
         }
-        if (entry.state().health().erred(ticker.nowMillis())) {
+        if (entry.state().health().recordErrorAnswer(ticker.nowMillis())) {
             metrics.ejected();
             FrontLog.ejected(entry.state().target(), "ERRORS");
         }
@@ -174,7 +174,7 @@
     public void answered(String targetId) {
         TargetEntry entry = entries.get(targetId);
         if (entry != null) {
-            entry.state().health().succeeded();
+            entry.state().health().recordSuccess();
         }
     }
 
@@ -198,7 +198,7 @@
     void updateLoad(String targetId, RunningRequests.Load load) {
         TargetEntry entry = entries.get(targetId);
         if (entry != null) {
-            entry.state().coordinated(load.running(), load.prefillTokens());
+            entry.state().updateCoordinatedLoad(load.running(), load.prefillTokens());
         }
     }
 
@@ -208,9 +208,9 @@
         for (TargetEntry entry : List.copyOf(entries.values())) {
             entry.pool().closeStale();
             TargetState state = entry.state();
-            if (state.gone(nowMillis)) {
+            if (state.removed(nowMillis)) {
                 entry.pool().closeIdle();
-                if (state.ownRunning() == 0) {
+                if (state.localInFlight() == 0) {
                     evict(state.target().id());
                 }
             } else if (!state.target().draining() && state.health().beginProbe(nowMillis)) {
@@ -291,10 +291,10 @@
         void done(OptionalLong cold) {
             ended = true;
             long nowMillis = ticker.nowMillis();
-            entry.state().health().probed(nowMillis, cold.isPresent());
+            entry.state().health().recordProbeResult(nowMillis, cold.isPresent());
             if (cold.isPresent()) {
                 if (cold.getAsLong() > 0) {
-                    entry.state().coldUntil(nowMillis + cold.getAsLong() + COLD_MARGIN_MILLIS);
+                    entry.state().markColdUntil(nowMillis + cold.getAsLong() + COLD_MARGIN_MILLIS);
                 }
                 FrontLog.returned(entry.state().target(), cold.getAsLong());
             }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRun.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRun.java
@@ -18,7 +18,7 @@
         this.entry = entry;
         this.candidate = candidate;
         this.ticket = ticket;
-        state().began(candidate.uncachedTokens());
+        state().recordDispatch(candidate.uncachedTokens());
     }
 
     TargetEntry entry() {
@@ -46,7 +46,7 @@
     void firstByte(long nowMillis) {
         firstByteReceived = true;
         firstByteAtMillis = nowMillis;
-        state().prefilled(candidate.uncachedTokens());
+        state().recordPrefillEnd(candidate.uncachedTokens());
     }
 
     /**
@@ -54,8 +54,8 @@
      * failing target look like the fastest.
      */
     void succeeded() {
-        state().health().answering();
-        state().speed().observed(candidate.tokensAhead(), candidate.occupancy(), firstByteMillis());
+        state().health().recordAnswerStart();
+        state().speed().recordFirstEvent(candidate.tokensAhead(), candidate.occupancy(), firstByteMillis());
         ticket.firstEvent(firstByteMillis());
     }
 
@@ -81,15 +81,15 @@
         }
         ended = true;
         if (!firstByteReceived) {
-            state().prefilled(candidate.uncachedTokens());
+            state().recordPrefillEnd(candidate.uncachedTokens());
         }
-        state().ended();
+        state().recordEnd();
         long tookMillis = answerTokens > 0 ? nowMillis - firstByteAtMillis : 0;
         if (tookMillis > 0) {
-            state().speed().answered(answerTokens, tookMillis);
+            state().speed().recordAnswer(answerTokens, tookMillis);
         }
         if (event == RunEvent.RUN_REFUSED) {
-            state().refusedAsFull(nowMillis);
+            state().recordFullRejection(nowMillis);
         }
         ticket.ended(event, tookMillis);
     }
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreDecoderTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreDecoderTest.java
@@ -62,7 +62,7 @@
                 .orElseThrow();
         assertThat(target.address(), is("10.128.0.9:8080"));
         assertThat(target.draining(), is(true));
-        assertThat(target.coldLeftMillis(), is(1_200L));
+        assertThat(target.coldRemainingMillis(), is(1_200L));
         assertThat(target.models().contains("m"), is(true));
     }
 
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/BeatSpreadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/BeatSpreadTest.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import org.whinwharf.traffic.member.Beat;
 import org.whinwharf.traffic.member.Member;
+import org.whinwharf.traffic.member.MemberHeartbeat;
 import org.whinwharf.traffic.member.MemberTable;
 import org.whinwharf.wire.fleet.MemberPhase;
 import org.whinwharf.wire.fleet.MemberReport;
@@ -35,7 +35,7 @@
         for (int i = 0; i < PROCESSES; i++) {
             MemberTable table = new MemberTable(report(i));
             for (int other = 0; other < PROCESSES; other++) {
-                table.hear(report(other), 0);
+                table.receive(report(other), 0);
             }
             tables.add(table);
         }
@@ -66,37 +66,40 @@
         while (aliveSomewhere(living)) {
             round(living);
         }
-        assertThat(nowMillis - killedAtMillis, greaterThan(MemberTable.LARGE_SILENT_MILLIS - 1));
-        assertThat(nowMillis - killedAtMillis, lessThan(MemberTable.LARGE_SILENT_MILLIS + 3_000));
+        assertThat(nowMillis - killedAtMillis, greaterThan(MemberTable.LARGE_FLEET_SUSPECT_TIMEOUT_MILLIS - 1));
+        assertThat(nowMillis - killedAtMillis, lessThan(MemberTable.LARGE_FLEET_SUSPECT_TIMEOUT_MILLIS + 3_000));
     }
 
     @Test
     void phaseTravelsWithTheSignOfLife() {
         MemberTable one = tables.get(0);
-        one.hear(new Beat("front-7".hashCode(), 1, 50, MemberPhase.MEMBER_LEAVING), 10);
+        one.receive(new MemberHeartbeat("front-7".hashCode(), 1, 50, MemberPhase.MEMBER_LEAVING), 10);
         assertThat(one.serving(10).stream().anyMatch(report -> report.getName().equals("front-7")), is(false));
     }
 
     /** A process was restarted between two rounds. Its new lifetime has to be asked for, not taken for the old one. */
     @Test
     void signOfLifeOfAnUnknownLifetimeIsNotTaken() {
-        assertThat(tables.get(0).hear(new Beat("front-7".hashCode(), 2, 1, MemberPhase.MEMBER_SERVING), 10), is(false));
-        assertThat(tables.get(0).hear(new Beat(12_345, 1, 1, MemberPhase.MEMBER_SERVING), 10), is(false));
+        assertThat(
+                tables.get(0).receive(new MemberHeartbeat("front-7".hashCode(), 2, 1, MemberPhase.MEMBER_SERVING), 10),
+                is(false));
+        assertThat(tables.get(0).receive(new MemberHeartbeat(12_345, 1, 1, MemberPhase.MEMBER_SERVING), 10), is(false));
     }
 
     /** A report that was passed on slowly comes after younger signs of life. It is news, but not of life. */
     @Test
     void olderReportDoesNotTakeBackAYoungerSignOfLife() {
         MemberTable one = tables.get(0);
-        one.hear(new Beat("front-7".hashCode(), 1, 50, MemberPhase.MEMBER_LEAVING), 10);
-        assertThat(one.hear(report(7).toBuilder().setSequence(40).setRevision(9).build(), 20), is(true));
+        one.receive(new MemberHeartbeat("front-7".hashCode(), 1, 50, MemberPhase.MEMBER_LEAVING), 10);
+        assertThat(
+                one.receive(report(7).toBuilder().setSequence(40).setRevision(9).build(), 20), is(true));
         Member member = one.all().stream()
                 .filter(known -> known.report().getName().equals("front-7"))
                 .findFirst()
                 .orElseThrow();
         assertThat(member.report().getRevision(), is(9L));
         assertThat(member.report().getPhase(), is(MemberPhase.MEMBER_LEAVING));
-        assertThat(member.heardAtMillis(), is(10L));
+        assertThat(member.receivedAtMillis(), is(10L));
     }
 
     private boolean aliveSomewhere(int living) {
@@ -110,12 +113,12 @@
         nowMillis += ROUND_MILLIS;
         for (int from = 0; from < living; from++) {
             MemberTable table = tables.get(from);
-            table.report(report(from).toBuilder());
-            List<Beat> beats = table.beats(90, nowMillis);
+            table.updateLocalReport(report(from).toBuilder());
+            List<MemberHeartbeat> beats = table.heartbeats(90, nowMillis);
             for (int i = 0; i < FAN_OUT; i++) {
                 MemberTable hearer = tables.get(random.nextInt(living));
                 if (random.nextDouble() >= LOSS) {
-                    beats.forEach(beat -> hearer.hear(beat, nowMillis));
+                    beats.forEach(beat -> hearer.receive(beat, nowMillis));
                 }
             }
         }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CatalogTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CatalogTest.java
@@ -99,8 +99,8 @@
                 .withServices(new ServiceWeight("old", 3), new ServiceWeight("new", 1));
         int fresh = 0;
         for (int i = 0; i < 4_000; i++) {
-            String service = split.serviceOf("attempt-" + i);
-            assertThat(split.serviceOf("attempt-" + i), is(service));
+            String service = split.selectService("attempt-" + i);
+            assertThat(split.selectService("attempt-" + i), is(service));
             fresh += service.equals("new") ? 1 : 0;
         }
         assertThat(fresh / 4_000.0, closeTo(0.25, 0.03));
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CommonPlacementLoadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CommonPlacementLoadTest.java
@@ -19,7 +19,7 @@
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.quota.QuotaLedger;
-import org.whinwharf.traffic.target.PromptCache;
+import org.whinwharf.traffic.target.PromptCacheIndex;
 import org.whinwharf.traffic.target.TargetState;
 import org.whinwharf.wire.fleet.RunEvent;
 
@@ -64,7 +64,7 @@
 
     private double fullShareWithOneCoordinator() {
         Map<String, TargetState> targets = engines();
-        PromptCache prompts = new PromptCache();
+        PromptCacheIndex prompts = new PromptCacheIndex();
         GrantListener listener = new GrantListener();
         Coordinator coordinator = new Coordinator(ImmutableCoordinatorDependencies.builder()
                 .localName("front-0")
@@ -75,7 +75,7 @@
                 .quotas(new QuotaLedger(true))
                 .decisionListener(listener)
                 .targetOutcomeListener(listener)
-                .loadListener((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
+                .loadListener((id, load) -> targets.get(id).updateCoordinatedLoad(load.running(), load.prefillTokens()))
                 .build());
         listener.coordinator = coordinator;
         simulateArrivals(
@@ -88,7 +88,8 @@
         Map<Integer, TargetSelector> placements = new HashMap<>();
         for (int front = 0; front < FRONTS; front++) {
             views.put(front, engines());
-            placements.put(front, new TargetSelector(new PromptCache(), target -> 0, () -> random.nextDouble() * 0.5));
+            placements.put(
+                    front, new TargetSelector(new PromptCacheIndex(), target -> 0, () -> random.nextDouble() * 0.5));
         }
         simulateArrivals((request, nowMillis) -> {
             int front = request % FRONTS;
@@ -100,10 +101,10 @@
                             Set.of(),
                             nowMillis);
             chosen.ifPresent(candidate -> {
-                candidate.state().began(candidate.uncachedTokens());
+                candidate.state().recordDispatch(candidate.uncachedTokens());
                 startRequest(candidate.state().target().id(), nowMillis, () -> {
-                    candidate.state().prefilled(candidate.uncachedTokens());
-                    candidate.state().ended();
+                    candidate.state().recordPrefillEnd(candidate.uncachedTokens());
+                    candidate.state().recordEnd();
                 });
             });
         });
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatedFleet.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatedFleet.java
@@ -13,7 +13,7 @@
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.quota.QuotaLedger;
-import org.whinwharf.traffic.target.PromptCache;
+import org.whinwharf.traffic.target.PromptCacheIndex;
 import org.whinwharf.traffic.target.TargetState;
 import org.whinwharf.wire.fleet.RunEvent;
 
@@ -41,7 +41,7 @@
         for (int i = 0; i < engines; i++) {
             targets.put("engine-" + i, new TargetState(Fixtures.target("engine-" + i, slots)));
         }
-        PromptCache prompts = new PromptCache();
+        PromptCacheIndex prompts = new PromptCacheIndex();
         coordinator = new Coordinator(ImmutableCoordinatorDependencies.builder()
                 .localName("front-0")
                 .targetSelector(new TargetSelector(prompts, target -> 0, () -> 0))
@@ -51,7 +51,7 @@
                 .quotas(new QuotaLedger(true))
                 .decisionListener(this)
                 .targetOutcomeListener(this)
-                .loadListener((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
+                .loadListener((id, load) -> targets.get(id).updateCoordinatedLoad(load.running(), load.prefillTokens()))
                 .build());
     }
 
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorTest.java
@@ -26,7 +26,7 @@
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.quota.QuotaLedger;
-import org.whinwharf.traffic.target.PromptCache;
+import org.whinwharf.traffic.target.PromptCacheIndex;
 import org.whinwharf.traffic.target.TargetState;
 import org.whinwharf.wire.fleet.RunEvent;
 
@@ -42,7 +42,7 @@
     private final Coordinator coordinator = coordinator();
 
     private Coordinator coordinator() {
-        PromptCache prompts = new PromptCache();
+        PromptCacheIndex prompts = new PromptCacheIndex();
         return new Coordinator(ImmutableCoordinatorDependencies.builder()
                 .localName("front-0")
                 .targetSelector(new TargetSelector(prompts, target -> 1, () -> 0))
@@ -52,7 +52,7 @@
                 .quotas(quotas)
                 .decisionListener(new RecordingDecisionListener())
                 .targetOutcomeListener(new RecordingOutcomeListener())
-                .loadListener((id, load) -> targets.get(id).coordinated(load.running(), load.prefillTokens()))
+                .loadListener((id, load) -> targets.get(id).updateCoordinatedLoad(load.running(), load.prefillTokens()))
                 .build());
     }
 
@@ -236,7 +236,7 @@
         coordinator.requestPlacement(placementRequest("front-1", 1, 1, 0), 0);
         TargetState slow = engine("slow", 4);
         for (int i = 0; i < 40; i++) {
-            slow.speed().observed(6_000, 0, 720);
+            slow.speed().recordFirstEvent(6_000, 0, 720);
         }
         coordinator.requestPlacement(summary("front-1", 2), 0);
         coordinator.requestPlacement(placementRequest("front-2", 3, 1, 0), 0);
@@ -251,7 +251,7 @@
     void longPromptGoesToASlowEngineWhereNoneIsFaster() {
         TargetState slow = engine("slow", 4);
         for (int i = 0; i < 40; i++) {
-            slow.speed().observed(6_000, 0, 720);
+            slow.speed().recordFirstEvent(6_000, 0, 720);
         }
         coordinator.requestPlacement(summary("front-1", 1), 0);
         assertThat(granted, contains("front-1/1@slow"));
@@ -271,7 +271,7 @@
     }
 
     private int running() {
-        return targets.values().stream().mapToInt(TargetState::running).sum();
+        return targets.values().stream().mapToInt(TargetState::inFlight).sum();
     }
 
     private static PlacementRequest placementRequest(String requester, long id, int tierRank, long nowMillis) {
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/Fixtures.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/Fixtures.java
@@ -29,8 +29,8 @@
                 .dataCentre("zilina-a")
                 .slots(slots)
                 .draining(false)
-                .coldLeftMillis(0)
-                .bornUnixMillis(1)
+                .coldRemainingMillis(0)
+                .startedUnixMillis(1)
                 .build();
     }
 
@@ -52,9 +52,9 @@
                 .kind(RouteKind.SAFE)
                 .addServices(new ServiceWeight("summaries", 1))
                 .timeoutMillis(1_000)
-                .objectiveMillis(100)
+                .latencyObjectiveMillis(100)
                 .tierRank(0)
-                .attempts(1)
+                .maxAttempts(1)
                 .publicAccess(false)
                 .resumable(false)
                 .gapObjectiveMillis(0)
@@ -72,7 +72,7 @@
                         .addKeys("secret")
                         .quotaTokensPerSecond(quotaTokensPerSecond)
                         .quotaBurstTokens(burst)
-                        .plainRequestTokens(200)
+                        .defaultRequestTokens(200)
                         .build()));
     }
 
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/JoinedRanksTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/JoinedRanksTest.java
@@ -54,6 +54,6 @@
     }
 
     private static int rank(int organisationRank, int routeRank) {
-        return TierRank.of(OptionalInt.of(organisationRank), routeRank);
+        return TierRank.combine(OptionalInt.of(organisationRank), routeRank);
     }
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/MemberTableTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/MemberTableTest.java
@@ -21,20 +21,20 @@
 
     @Test
     void newerReportReplacesTheOlder() {
-        assertThat(table.hear(Fixtures.report("a", 1, 5), 0), is(true));
-        assertThat(table.hear(Fixtures.report("a", 1, 5), 10), is(false));
-        assertThat(table.hear(Fixtures.report("a", 1, 4), 10), is(false));
-        assertThat(table.hear(Fixtures.report("a", 2, 0), 10), is(true));
+        assertThat(table.receive(Fixtures.report("a", 1, 5), 0), is(true));
+        assertThat(table.receive(Fixtures.report("a", 1, 5), 10), is(false));
+        assertThat(table.receive(Fixtures.report("a", 1, 4), 10), is(false));
+        assertThat(table.receive(Fixtures.report("a", 2, 0), 10), is(true));
     }
 
     @Test
     void silentProcessIsNamedToNobodyButStillCounts() {
-        table.hear(Fixtures.report("a", 1, 1), 0);
-        assertThat(table.serving(MemberTable.SILENT_MILLIS), hasSize(2));
-        assertThat(table.serving(MemberTable.SILENT_MILLIS + 1), hasSize(1));
-        assertThat(table.reachableShare(MemberTable.SILENT_MILLIS + 1), closeTo(0.6, 0.001));
-        table.forget(MemberTable.FORGOTTEN_MILLIS + 1);
-        assertThat(table.reachableShare(MemberTable.FORGOTTEN_MILLIS + 1), closeTo(1, 0.001));
+        table.receive(Fixtures.report("a", 1, 1), 0);
+        assertThat(table.serving(MemberTable.SUSPECT_TIMEOUT_MILLIS), hasSize(2));
+        assertThat(table.serving(MemberTable.SUSPECT_TIMEOUT_MILLIS + 1), hasSize(1));
+        assertThat(table.reachableShare(MemberTable.SUSPECT_TIMEOUT_MILLIS + 1), closeTo(0.6, 0.001));
+        table.expire(MemberTable.EXPIRY_TIMEOUT_MILLIS + 1);
+        assertThat(table.reachableShare(MemberTable.EXPIRY_TIMEOUT_MILLIS + 1), closeTo(1, 0.001));
     }
 
     /**
@@ -44,8 +44,8 @@
      */
     @Test
     void processThatHearsAHigherIncarnationOfItselfTakesAHigherOne() {
-        table.hear(Fixtures.report("own", 5_000, 7), 0);
-        assertThat(table.own().getIncarnation(), greaterThan(5_000L));
+        table.receive(Fixtures.report("own", 5_000, 7), 0);
+        assertThat(table.localReport().getIncarnation(), greaterThan(5_000L));
     }
 
     /**
@@ -54,14 +54,14 @@
      */
     @Test
     void everyProcessOfALargeFleetIsNamedToAsManyCallers() {
-        table.report(Fixtures.report("own", 100, 0).toBuilder());
+        table.updateLocalReport(Fixtures.report("own", 100, 0).toBuilder());
         Map<String, Integer> named = new HashMap<>();
         for (int i = 0; i < 90; i++) {
-            table.hear(Fixtures.report("front-" + i, 1, 1), 0);
+            table.receive(Fixtures.report("front-" + i, 1, 1), 0);
         }
         Random random = new Random(1);
         for (int answer = 0; answer < 1_000; answer++) {
-            List<MemberReport> drawn = table.drawServing(0, 64, random);
+            List<MemberReport> drawn = table.sampleServing(0, 64, random);
             assertThat(drawn, hasSize(64));
             drawn.forEach(report -> named.merge(report.getName(), 1, Integer::sum));
         }
@@ -72,8 +72,8 @@
 
     @Test
     void leavingProcessIsOutOfServiceAtOnce() {
-        table.hear(Fixtures.report("a", 1, 1), 0);
-        table.hear(
+        table.receive(Fixtures.report("a", 1, 1), 0);
+        table.receive(
                 Fixtures.report("a", 1, 2).toBuilder()
                         .setPhase(MemberPhase.MEMBER_LEAVING)
                         .build(),
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/PlacementTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/PlacementTest.java
@@ -15,20 +15,20 @@
 import org.whinwharf.traffic.placement.ImmutableDemand;
 import org.whinwharf.traffic.placement.RendezvousColdShares;
 import org.whinwharf.traffic.placement.TargetSelector;
-import org.whinwharf.traffic.target.PromptCache;
+import org.whinwharf.traffic.target.PromptCacheIndex;
 import org.whinwharf.traffic.target.Target;
 import org.whinwharf.traffic.target.TargetState;
 
 class PlacementTest {
     private static final double COLD_REQUESTS_PER_SECOND = 11;
 
-    private final PromptCache promptCache = new PromptCache();
+    private final PromptCacheIndex promptCache = new PromptCacheIndex();
     private final TargetSelector selector = new TargetSelector(promptCache, target -> 0, () -> 0);
 
     @Test
     void promptGoesWhereItWasRead() {
         List<TargetState> states = states(3);
-        promptCache.reads(Fixtures.demand(0, 6_610, "orava").promptParts(), "t2", 0);
+        promptCache.recordPrefill(Fixtures.demand(0, 6_610, "orava").promptParts(), "t2", 0);
         assertThat(selectedId(0, "orava", states), is(Optional.of("t2")));
     }
 
@@ -40,7 +40,7 @@
     void lastSlotsAreKeptForTheHighestTier() {
         List<TargetState> states = states(1);
         for (int i = 0; i < 8; i++) {
-            states.get(0).began(0);
+            states.get(0).recordDispatch(0);
         }
         assertThat(selectedId(2, "bin", states), is(Optional.empty()));
         assertThat(selectedId(0, "orava", states), is(Optional.of("t0")));
@@ -53,7 +53,7 @@
     @Test
     void highestTierMayWaitAtTheEngineByOne() {
         List<TargetState> states = states(1);
-        states.get(0).others(8, 0);
+        states.get(0).updateRemoteLoad(8, 0);
         assertThat(selectedId(0, "orava", states), is(Optional.of("t0")));
         assertThat(selectedId(1, "orava", states), is(Optional.empty()));
     }
@@ -61,7 +61,7 @@
     @Test
     void fullEngineGetsNothing() {
         List<TargetState> states = states(1);
-        states.get(0).others(9, 0);
+        states.get(0).updateRemoteLoad(9, 0);
         assertThat(selectedId(0, "orava", states), is(Optional.empty()));
     }
 
@@ -75,9 +75,9 @@
     void longAnswerGoesWhereItCanEndInTime() {
         List<TargetState> states = states(2);
         for (int i = 0; i < 40; i++) {
-            states.get(0).speed().answered(400, 400 * 9);
+            states.get(0).speed().recordAnswer(400, 400 * 9);
         }
-        states.get(1).others(5, 0);
+        states.get(1).updateRemoteLoad(5, 0);
         Demand shortAnswer = Fixtures.demand(0, 6_610, "orava");
         Demand longAnswer =
                 ImmutableDemand.copyOf(shortAnswer).withMaxAnswerTokens(3_000).withRemainingMillis(12_000);
@@ -89,7 +89,7 @@
     void slowEngineIsUsedAfterTheOthers() {
         List<TargetState> states = states(2);
         for (int i = 0; i < 10; i++) {
-            states.get(0).speed().observed(6_610, 0, 800);
+            states.get(0).speed().recordFirstEvent(6_610, 0, 800);
         }
         assertThat(selectedId(0, "orava", states), is(Optional.of("t1")));
     }
@@ -122,12 +122,12 @@
     void coldTargetGetsNoMoreThanTheShareInASecond() {
         TargetSelector sharing = new TargetSelector(promptCache, target -> 3, () -> 0);
         List<TargetState> states = states(1);
-        states.get(0).coldUntil(5_000);
+        states.get(0).markColdUntil(5_000);
         int sent = 0;
         for (long now = 0; now < 1_000; now += 10) {
             Optional<Candidate> candidate = sharing.select(Fixtures.demand(0, 100, "s" + now), states, Set.of(), now);
             if (candidate.isPresent()) {
-                candidate.get().state().coldGate().sent(now);
+                candidate.get().state().coldStartLimiter().recordDispatch(now);
                 sent++;
             }
         }
@@ -138,7 +138,7 @@
     void leavingTargetsAndDataCentresGetNothing() {
         List<TargetState> states = states(1);
         assertThat(selector.select(Fixtures.demand(0, 100, "s"), states, Set.of("zilina-a"), 0), is(Optional.empty()));
-        states.get(0).goneAt(0);
+        states.get(0).markRemovedAt(0);
         assertThat(selectedId(0, "s", states), is(Optional.empty()));
     }
 
@@ -167,12 +167,12 @@
     @Test
     void promptGoesToAnyTargetThatReadItLately() {
         TargetState full = new TargetState(Fixtures.target("a-full", 1));
-        full.began(0);
+        full.recordDispatch(0);
         TargetState idle = new TargetState(Fixtures.target("b-idle", 4));
         TargetState earlier = new TargetState(Fixtures.target("c-earlier", 4));
         Demand demand = Fixtures.demand(0, 6_610, "orava");
-        promptCache.reads(demand.promptParts(), "c-earlier", 0);
-        promptCache.reads(demand.promptParts(), "a-full", 5_000);
+        promptCache.recordPrefill(demand.promptParts(), "c-earlier", 0);
+        promptCache.recordPrefill(demand.promptParts(), "a-full", 5_000);
         List<TargetState> targets = List.of(full, idle, earlier);
         Candidate soon = selector.select(demand, targets, Set.of(), 6_000).orElseThrow();
         assertThat(soon.state().target().id(), is("c-earlier"));
@@ -185,7 +185,7 @@
     @Test
     void promptReadLongAgoCountsAsForgotten() {
         Demand demand = Fixtures.demand(0, 6_610, "orava");
-        promptCache.reads(demand.promptParts(), "a", 0);
+        promptCache.recordPrefill(demand.promptParts(), "a", 0);
         assertThat(promptCache.uncachedTokens(demand.promptParts(), 6_610, "a", 20_000), is(0L));
         assertThat(promptCache.uncachedTokens(demand.promptParts(), 6_610, "a", 20_001), is(6_550L));
     }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/QuotaLedgerTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/QuotaLedgerTest.java
@@ -40,7 +40,7 @@
         List<QuotaLedger> fleet = fleet(true);
         flood(fleet, fleet.size(), 0, 8_000);
         for (int i = 0; i < PROCESSES; i++) {
-            fleet.get(i).reachableShare(1.2 * (i < 3 ? 3.0 / 7 : 4.0 / 7), 8_000);
+            fleet.get(i).updateReachableShare(1.2 * (i < 3 ? 3.0 / 7 : 4.0 / 7), 8_000);
         }
         long admitted = flood(fleet, 3, 8_000, 16_000);
         assertThat((double) admitted, lessThan(BOUND));
@@ -67,7 +67,7 @@
         List<QuotaLedger> fleet = fleet(true);
         for (long now = 0; now < 8_000; now += 10) {
             if (fleet.get(0).tryAdmit("obec", REQUEST_TOKENS, now)) {
-                fleet.get(0).giveBack("obec", REQUEST_TOKENS);
+                fleet.get(0).refund("obec", REQUEST_TOKENS);
             }
             if (now % NEWS_MILLIS == 0) {
                 tellAll(fleet, PROCESSES, now);
@@ -86,13 +86,13 @@
         QuotaLedger ledger = new QuotaLedger(true);
         ledger.update(Fixtures.catalog(1, RATE, RATE), 0);
         while (ledger.tryAdmit("obec", REQUEST_TOKENS, 0)) {
-            assertThat(ledger.comeBackMillis("obec") > 0, is(true));
+            assertThat(ledger.retryAfterMillis("obec") > 0, is(true));
         }
-        long first = ledger.comeBackMillis("obec");
+        long first = ledger.retryAfterMillis("obec");
         for (int i = 0; i < 99; i++) {
             ledger.tryAdmit("obec", REQUEST_TOKENS, 0);
         }
-        long last = ledger.comeBackMillis("obec");
+        long last = ledger.retryAfterMillis("obec");
         assertThat((double) (last - first), closeTo(99 * REQUEST_TOKENS / RATE * 1_000, 2));
     }
 
@@ -104,17 +104,17 @@
     void restartsOfAPeerDoNotLengthenTheAdvice() {
         QuotaLedger ledger = new QuotaLedger(true);
         ledger.update(Fixtures.catalog(1, RATE, RATE), 0);
-        ledger.heard("front-1", 1, "obec".hashCode(), 0, 0);
+        ledger.receiveTotal("front-1", 1, "obec".hashCode(), 0, 0);
         while (ledger.tryAdmit("obec", REQUEST_TOKENS, 0)) {
-            assertThat(ledger.comeBackMillis("obec") > 0, is(true));
+            assertThat(ledger.retryAfterMillis("obec") > 0, is(true));
         }
-        long before = ledger.comeBackMillis("obec");
+        long before = ledger.retryAfterMillis("obec");
         for (long incarnation = 2; incarnation < 80; incarnation++) {
-            ledger.heard("front-1", incarnation, "obec".hashCode(), 0, 0);
+            ledger.receiveTotal("front-1", incarnation, "obec".hashCode(), 0, 0);
         }
-        assertThat(ledger.comeBackMillis("obec"), is(before));
-        ledger.heard("front-1", 80, "obec".hashCode(), 36_000, 0);
-        assertThat((double) (ledger.comeBackMillis("obec") - before), closeTo(1_000, 2));
+        assertThat(ledger.retryAfterMillis("obec"), is(before));
+        ledger.receiveTotal("front-1", 80, "obec".hashCode(), 36_000, 0);
+        assertThat((double) (ledger.retryAfterMillis("obec") - before), closeTo(1_000, 2));
     }
 
     /**
@@ -125,9 +125,9 @@
     void totalsFromBeforeTheOwnStartAreNoDebt() {
         QuotaLedger ledger = new QuotaLedger(false);
         ledger.update(Fixtures.catalog(1, RATE, RATE), 0);
-        ledger.heard("front-1", 1, "obec".hashCode(), 30 * (long) RATE, 0);
+        ledger.receiveTotal("front-1", 1, "obec".hashCode(), 30 * (long) RATE, 0);
         assertThat(ledger.tryAdmit("obec", REQUEST_TOKENS, 10), is(true));
-        ledger.heard("front-1", 1, "obec".hashCode(), 31 * (long) RATE, 20);
+        ledger.receiveTotal("front-1", 1, "obec".hashCode(), 31 * (long) RATE, 20);
         assertThat(ledger.tryAdmit("obec", REQUEST_TOKENS, 30), is(false));
     }
 
@@ -139,10 +139,10 @@
     void useAdmittedForAnotherProcessIsCountedOnce() {
         QuotaLedger ledger = new QuotaLedger(true);
         ledger.update(Fixtures.catalog(1, RATE, RATE), 0);
-        ledger.heard("front-1", 1, "obec".hashCode(), 0, 0);
+        ledger.receiveTotal("front-1", 1, "obec".hashCode(), 0, 0);
         long half = (long) RATE / 2;
         assertThat(ledger.tryAdmitFor("front-1", "obec", half, 0), is(true));
-        ledger.heard("front-1", 1, "obec".hashCode(), half, 0);
+        ledger.receiveTotal("front-1", 1, "obec".hashCode(), half, 0);
         assertThat(ledger.tryAdmitFor("front-1", "obec", half, 0), is(true));
         assertThat(ledger.tryAdmitFor("front-1", "obec", 1, 0), is(false));
     }
@@ -158,9 +158,9 @@
         for (int process = 0; process < processes; process++) {
             QuotaLedger ledger = new QuotaLedger(true);
             ledger.update(Fixtures.catalog(1, 90 * RATE, 90 * RATE), 0);
-            ledger.fleet(processes);
+            ledger.updateProcessCount(processes);
             for (long now = 0; now < 1_000; now += 50) {
-                admitted += ledger.tryAdmitAlone("obec", REQUEST_TOKENS, now) ? REQUEST_TOKENS : 0;
+                admitted += ledger.tryAdmitUncoordinated("obec", REQUEST_TOKENS, now) ? REQUEST_TOKENS : 0;
             }
         }
         assertThat((double) admitted, lessThan(2.6 * 90 * RATE));
@@ -200,7 +200,7 @@
                     QuotaLedger hearer = fleet.get(to);
                     fleet.get(from)
                             .admittedTotals()
-                            .forEach((digest, total) -> hearer.heard(process, 1, digest, total, now));
+                            .forEach((digest, total) -> hearer.receiveTotal(process, 1, digest, total, now));
                 }
             }
         }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/RetryBudgetTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/RetryBudgetTest.java
@@ -18,9 +18,9 @@
         for (int process = 0; process < 7; process++) {
             RetryBudget budget = new RetryBudget(0.2, 10_000);
             for (long now = 0; now < 10_000; now += 50) {
-                budget.request(now);
+                budget.recordRequest(now);
                 requests++;
-                if (budget.tryRepeat(now, 54 / 8.0)) {
+                if (budget.tryRetry(now, 54 / 8.0)) {
                     repeats++;
                 }
             }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TargetHealthTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TargetHealthTest.java
@@ -17,9 +17,9 @@
     void shareOfErrorsEjects() {
         boolean ejected = false;
         for (int i = 0; i < 40 && !ejected; i++) {
-            ejected = health.erred(0);
+            ejected = health.recordErrorAnswer(0);
             if (i % 5 == 4) {
-                health.succeeded();
+                health.recordSuccess();
             }
         }
         assertThat(ejected, is(true));
@@ -30,20 +30,20 @@
     void usualErrorsDoNotEject() {
         for (int i = 0; i < 700; i++) {
             if (i % 7 == 0) {
-                assertThat(health.erred(i), is(false));
+                assertThat(health.recordErrorAnswer(i), is(false));
             } else {
-                health.succeeded();
+                health.recordSuccess();
             }
         }
     }
 
     @Test
     void ejectedTargetReturnsThroughOneProbe() {
-        health.failed(0, true);
+        health.recordFailure(0, true);
         assertThat(health.beginProbe(100), is(false));
         assertThat(health.beginProbe(600), is(true));
         assertThat(health.beginProbe(600), is(false));
-        health.probed(650, true);
+        health.recordProbeResult(650, true);
         assertThat(health.ejected(), is(false));
     }
 
@@ -53,23 +53,23 @@
      */
     @Test
     void targetOnTrialGetsOneRequestAtATimeUntilOneIsAnswered() {
-        health.failed(0, true);
+        health.recordFailure(0, true);
         health.beginProbe(600);
-        health.probed(650, true);
+        health.recordProbeResult(650, true);
         assertThat(health.admits(650), is(true));
-        health.sent(650);
+        health.recordDispatch(650);
         assertThat(health.admits(660), is(false));
         assertThat(health.admits(1_150), is(true));
-        health.sent(1_150);
-        health.answering();
+        health.recordDispatch(1_150);
+        health.recordAnswerStart();
         assertThat(health.admits(1_151), is(true));
     }
 
     @Test
     void failedProbesComeLessOften() {
-        health.failed(0, true);
+        health.recordFailure(0, true);
         health.beginProbe(500);
-        health.probed(500, false);
+        health.recordProbeResult(500, false);
         assertThat(health.beginProbe(1_000), is(false));
         assertThat(health.beginProbe(1_500), is(true));
     }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TierRankTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TierRankTest.java
@@ -16,23 +16,23 @@
     @Test
     void routesOfEquallyRankedOrganisationsKeepTheirOrder() {
         OptionalInt same = OptionalInt.of(1);
-        assertThat(TierRank.of(same, 0), lessThan(TierRank.of(same, 1)));
-        assertThat(TierRank.of(same, 1), lessThan(TierRank.of(same, 2)));
+        assertThat(TierRank.combine(same, 0), lessThan(TierRank.combine(same, 1)));
+        assertThat(TierRank.combine(same, 1), lessThan(TierRank.combine(same, 2)));
     }
 
     @Test
     void rankOfTheOrganisationGoesBeforeThatOfTheRoute() {
-        assertThat(TierRank.of(OptionalInt.of(0), 5), lessThan(TierRank.of(OptionalInt.of(1), 0)));
+        assertThat(TierRank.combine(OptionalInt.of(0), 5), lessThan(TierRank.combine(OptionalInt.of(1), 0)));
     }
 
     @Test
     void routeStandsInForAnOrganisationWithoutRank() {
-        assertThat(TierRank.of(OptionalInt.empty(), 0), lessThan(TierRank.of(OptionalInt.of(1), 0)));
-        assertThat(TierRank.of(OptionalInt.of(1), 2), lessThan(TierRank.of(OptionalInt.empty(), 2)));
+        assertThat(TierRank.combine(OptionalInt.empty(), 0), lessThan(TierRank.combine(OptionalInt.of(1), 0)));
+        assertThat(TierRank.combine(OptionalInt.of(1), 2), lessThan(TierRank.combine(OptionalInt.empty(), 2)));
     }
 
     @Test
     void rankOfTheRouteCanBeReadBack() {
-        assertThat(TierRank.ofRoute(TierRank.of(OptionalInt.of(3), 2)), is(2));
+        assertThat(TierRank.routeRank(TierRank.combine(OptionalInt.of(3), 2)), is(2));
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Catalog.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Catalog.java
@@ -106,7 +106,7 @@
      *
      * @return true when the catalog has organisations
      */
-    public boolean asksForKeys() {
+    public boolean requiresKeys() {
         return !organisations.isEmpty();
     }
 
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Organisation.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Organisation.java
@@ -48,5 +48,5 @@
      *
      * @return tokens, 0 or more
      */
-    long plainRequestTokens();
+    long defaultRequestTokens();
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Route.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Route.java
@@ -60,7 +60,7 @@
      *
      * @return time in milliseconds, above 0
      */
-    long objectiveMillis();
+    long latencyObjectiveMillis();
 
     /**
      * Returns the rank of its requests.
@@ -74,7 +74,7 @@
      *
      * @return attempts, 1 or more
      */
-    int attempts();
+    int maxAttempts();
 
     /**
      * Tells whether requests need no key.
@@ -112,7 +112,7 @@
      * @param attemptId id of the request
      * @return name of the service
      */
-    default String serviceOf(String attemptId) {
+    default String selectService(String attemptId) {
         double total = services().stream().mapToDouble(ServiceWeight::weight).sum();
         double point = (attemptId.hashCode() * SPREADING_FACTOR >>> UNUSED_BITS) / (double) (1L << DOUBLE_BITS) * total;
         for (ServiceWeight service : services()) {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/TierRank.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/TierRank.java
@@ -22,7 +22,7 @@
      * @param routeRank rank of the route
      * @return joint rank; 0 is served first
      */
-    public static int of(OptionalInt organisationRank, int routeRank) {
+    public static int combine(OptionalInt organisationRank, int routeRank) {
         int route = Math.max(0, Math.min(ROUTE_RANKS - 1, routeRank));
         return organisationRank.orElse(route) * ROUTE_RANKS + route;
     }
@@ -44,7 +44,7 @@
      * @param tierRank joint rank
      * @return rank of the route
      */
-    public static int ofRoute(int tierRank) {
+    public static int routeRank(int tierRank) {
         return tierRank % ROUTE_RANKS;
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/CoordinatorDependencies.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/CoordinatorDependencies.java
@@ -9,7 +9,7 @@
 import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.policy.Policy;
 import org.whinwharf.traffic.quota.QuotaLedger;
-import org.whinwharf.traffic.target.PromptCache;
+import org.whinwharf.traffic.target.PromptCacheIndex;
 import org.whinwharf.traffic.target.TargetState;
 
 /** The state that a coordinator bases its decisions on, and the listeners that it notifies. */
@@ -35,7 +35,7 @@
      *
      * @return prompt cache that the target selector uses
      */
-    PromptCache promptCache();
+    PromptCacheIndex promptCache();
 
     /**
      * Returns the states of targets.
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/CoordinatorRanking.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/CoordinatorRanking.java
@@ -44,14 +44,14 @@
     public static List<MemberReport> rank(String service, Collection<Member> serving) {
         long oldest = 0;
         for (Member member : serving) {
-            oldest = Math.max(oldest, member.beatSequence());
+            oldest = Math.max(oldest, member.heartbeatSequence());
         }
         long settledHeartbeats = Math.min(SETTLED_HEARTBEATS, oldest - MIN_LAG_HEARTBEATS);
         List<Ranked> ranked = new ArrayList<>(serving.size());
         for (Member member : serving) {
             MemberReport report = member.report();
             long weight = Rendezvous.weight(report.getName(), service);
-            ranked.add(new Ranked(report, member.beatSequence() < settledHeartbeats, weight));
+            ranked.add(new Ranked(report, member.heartbeatSequence() < settledHeartbeats, weight));
         }
         Collections.sort(ranked);
         List<MemberReport> reports = new ArrayList<>(ranked.size());
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/ServiceCoordinator.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/coordination/ServiceCoordinator.java
@@ -115,7 +115,7 @@
         }
         return joinedRanks.assign(
                 demand.tierRank(),
-                TargetSpeed.assumedHoldMillis(demand.promptTokens(), demand.maxAnswerTokens()),
+                TargetSpeed.assumedSlotMillis(demand.promptTokens(), demand.maxAnswerTokens()),
                 onTimeMillis);
     }
 
@@ -178,8 +178,8 @@
     private void recordFirstEvent(RequestKey key, Grant grant, long tookMillis) {
         if (tookMillis > 0 && !key.requester().equals(dependencies.localName())) {
             Candidate candidate = grant.candidate();
-            candidate.state().health().answering();
-            candidate.state().speed().observed(candidate.tokensAhead(), candidate.occupancy(), tookMillis);
+            candidate.state().health().recordAnswerStart();
+            candidate.state().speed().recordFirstEvent(candidate.tokensAhead(), candidate.occupancy(), tookMillis);
         }
     }
 
@@ -190,10 +190,10 @@
                 && tookMillis > 0
                 && answerTokens > 0
                 && !key.requester().equals(dependencies.localName())) {
-            state.speed().answered(answerTokens, tookMillis);
+            state.speed().recordAnswer(answerTokens, tookMillis);
         }
         if (event == RunEvent.RUN_REFUSED) {
-            state.refusedAsFull(nowMillis);
+            state.recordFullRejection(nowMillis);
         }
     }
 
@@ -241,7 +241,7 @@
     private RejectionDetails quotaRejection(String organisation, long nowMillis) {
         QuotaLedger quotas = dependencies.quotas();
         return new RejectionDetails(
-                quotas.comeBackMillis(organisation), 0, 0, 0, quotas.levelTokens(organisation, nowMillis));
+                quotas.retryAfterMillis(organisation), 0, 0, 0, quotas.levelTokens(organisation, nowMillis));
     }
 
     private long estimatedWaitMillis(int queuedAhead, int rank, long nowMillis) {
@@ -345,7 +345,7 @@
                     new RunningRequests.Run(targetId, candidate.uncachedTokens()),
                     nowMillis);
             candidate.recordDispatch(nowMillis);
-            dependencies.promptCache().reads(request.demand().promptParts(), targetId, nowMillis);
+            dependencies.promptCache().recordPrefill(request.demand().promptParts(), targetId, nowMillis);
             grants.put(key, new Grant(request, candidate));
             dependencies.decisionListener().granted(request, candidate);
         }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/member/Beat.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/member/MemberHeartbeat.java
@@ -10,4 +10,4 @@
  * @param sequence number of its report
  * @param phase what it does
  */
-public record Beat(int nameDigest, int incarnationDigest, long sequence, MemberPhase phase) {}
+public record MemberHeartbeat(int nameDigest, int incarnationDigest, long sequence, MemberPhase phase) {}
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/member/MemberTable.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/member/MemberTable.java
@@ -22,20 +22,20 @@
  */
 public final class MemberTable {
     /** Silence after which a process is named to nobody: seven lost reports in a row. */
-    public static final long SILENT_MILLIS = 1_500;
+    public static final long SUSPECT_TIMEOUT_MILLIS = 1_500;
     /** The same in a large fleet, where a sign of life goes from hand to hand some five times. */
-    public static final long LARGE_SILENT_MILLIS = 3_000;
+    public static final long LARGE_FLEET_SUSPECT_TIMEOUT_MILLIS = 3_000;
     /** Processes from which on a fleet is large: below, each tells each other one directly. */
-    public static final int LARGE_FLEET = 12;
+    public static final int LARGE_FLEET_THRESHOLD = 12;
     /** Silence after which a process no longer counts as part of the fleet: longer than a restart or a short cut. */
-    public static final long FORGOTTEN_MILLIS = 20_000;
+    public static final long EXPIRY_TIMEOUT_MILLIS = 20_000;
 
     /** What is used beyond the strict part while processes are silent. */
     private static final double SILENT_EXCESS = 1.2;
 
     private final Map<String, Entry> others = new TreeMap<>();
     private final Map<Integer, Entry> byDigest = new HashMap<>();
-    private MemberReport own;
+    private MemberReport localReport;
 
     /**
      * Creates a table that holds only this process.
@@ -43,7 +43,7 @@
      * @param own this process's first report
      */
     public MemberTable(MemberReport own) {
-        this.own = own;
+        this.localReport = own;
     }
 
     /**
@@ -51,8 +51,8 @@
      *
      * @return the report as last made
      */
-    public MemberReport own() {
-        return own;
+    public MemberReport localReport() {
+        return localReport;
     }
 
     /**
@@ -60,9 +60,9 @@
      *
      * @param next report without incarnation and sequence
      */
-    public void report(MemberReport.Builder next) {
-        own = next.setIncarnation(own.getIncarnation())
-                .setSequence(own.getSequence() + 1)
+    public void updateLocalReport(MemberReport.Builder next) {
+        localReport = next.setIncarnation(localReport.getIncarnation())
+                .setSequence(localReport.getSequence() + 1)
                 .build();
     }
 
@@ -73,10 +73,10 @@
      * @param nowMillis steady time in milliseconds
      * @return true when it is news
      */
-    public boolean hear(MemberReport report, long nowMillis) {
-        if (report.getName().equals(own.getName())) {
-            if (report.getIncarnation() > own.getIncarnation()) {
-                own = own.toBuilder()
+    public boolean receive(MemberReport report, long nowMillis) {
+        if (report.getName().equals(localReport.getName())) {
+            if (report.getIncarnation() > localReport.getIncarnation()) {
+                localReport = localReport.toBuilder()
                         .setIncarnation(report.getIncarnation() + 1)
                         .build();
             }
@@ -93,12 +93,12 @@
         if (older) {
             return false;
         }
-        if (report.getSequence() > known.beatSequence()) {
+        if (report.getSequence() > known.heartbeatSequence()) {
             put(new Member(report, report.getSequence(), nowMillis));
         } else {
             MemberPhase newest = known.report().getPhase();
             MemberReport merged = report.toBuilder().setPhase(newest).build();
-            put(new Member(merged, known.beatSequence(), known.heardAtMillis()));
+            put(new Member(merged, known.heartbeatSequence(), known.receivedAtMillis()));
         }
         return true;
     }
@@ -110,8 +110,8 @@
      * @param nowMillis steady time in milliseconds
      * @return false when the lifetime that it is of is not known
      */
-    public boolean hear(Beat beat, long nowMillis) {
-        if (beat.nameDigest() == own.getName().hashCode()) {
+    public boolean receive(MemberHeartbeat beat, long nowMillis) {
+        if (beat.nameDigest() == localReport.getName().hashCode()) {
             return true;
         }
         Entry entry = byDigest.get(beat.nameDigest());
@@ -119,7 +119,7 @@
             return false;
         }
         Member known = entry.member;
-        if (beat.sequence() > known.beatSequence()) {
+        if (beat.sequence() > known.heartbeatSequence()) {
             MemberReport report = known.report();
             if (report.getPhase() != beat.phase()) {
                 report = report.toBuilder().setPhase(beat.phase()).build();
@@ -136,19 +136,20 @@
      * @param nowMillis steady time in milliseconds
      * @return signs of life
      */
-    public List<Beat> beats(int most, long nowMillis) {
-        List<Beat> beats = new ArrayList<>();
-        beats.add(beat(own, own.getSequence()));
+    public List<MemberHeartbeat> heartbeats(int most, long nowMillis) {
+        List<MemberHeartbeat> beats = new ArrayList<>();
+        beats.add(beat(localReport, localReport.getSequence()));
         List<Member> newestFirst = alive(nowMillis);
-        newestFirst.sort((left, right) -> Long.compare(right.heardAtMillis(), left.heardAtMillis()));
+        newestFirst.sort((left, right) -> Long.compare(right.receivedAtMillis(), left.receivedAtMillis()));
         for (Member member : newestFirst.subList(0, Math.min(newestFirst.size(), most - 1))) {
-            beats.add(beat(member.report(), member.beatSequence()));
+            beats.add(beat(member.report(), member.heartbeatSequence()));
         }
         return beats;
     }
 
-    private static Beat beat(MemberReport report, long sequence) {
-        return new Beat(report.getName().hashCode(), (int) report.getIncarnation(), sequence, report.getPhase());
+    private static MemberHeartbeat beat(MemberReport report, long sequence) {
+        return new MemberHeartbeat(
+                report.getName().hashCode(), (int) report.getIncarnation(), sequence, report.getPhase());
     }
 
     private void put(Member member) {
@@ -164,13 +165,14 @@
      * @param nowMillis steady time in milliseconds
      * @return names of those forgotten
      */
-    public List<String> forget(long nowMillis) {
+    public List<String> expire(long nowMillis) {
         List<String> forgotten = new ArrayList<>();
         others.values().removeIf(entry -> {
             Member member = entry.member;
-            long silentMillis = nowMillis - member.heardAtMillis();
-            boolean left = member.report().getPhase() == MemberPhase.MEMBER_LEAVING && silentMillis > SILENT_MILLIS;
-            boolean drop = left || silentMillis > FORGOTTEN_MILLIS;
+            long silentMillis = nowMillis - member.receivedAtMillis();
+            boolean left =
+                    member.report().getPhase() == MemberPhase.MEMBER_LEAVING && silentMillis > SUSPECT_TIMEOUT_MILLIS;
+            boolean drop = left || silentMillis > EXPIRY_TIMEOUT_MILLIS;
             if (drop) {
                 forgotten.add(member.report().getName());
                 byDigest.remove(member.report().getName().hashCode());
@@ -187,10 +189,10 @@
      * @return members, in a list of the caller's own
      */
     public List<Member> alive(long nowMillis) {
-        long limitMillis = large() ? LARGE_SILENT_MILLIS : SILENT_MILLIS;
+        long limitMillis = largeFleet() ? LARGE_FLEET_SUSPECT_TIMEOUT_MILLIS : SUSPECT_TIMEOUT_MILLIS;
         List<Member> alive = new ArrayList<>(others.size());
         for (Entry entry : others.values()) {
-            if (nowMillis - entry.member.heardAtMillis() <= limitMillis) {
+            if (nowMillis - entry.member.receivedAtMillis() <= limitMillis) {
                 alive.add(entry.member);
             }
         }
@@ -202,8 +204,8 @@
      *
      * @return true in a large fleet
      */
-    public boolean large() {
-        return others.size() + 1 >= LARGE_FLEET;
+    public boolean largeFleet() {
+        return others.size() + 1 >= LARGE_FLEET_THRESHOLD;
     }
 
     /**
@@ -233,7 +235,7 @@
      */
     public List<Member> servingMembers(long nowMillis) {
         List<Member> serving = new ArrayList<>();
-        serving.add(new Member(own, own.getSequence(), nowMillis));
+        serving.add(new Member(localReport, localReport.getSequence(), nowMillis));
         serving.addAll(alive(nowMillis));
         serving.removeIf(member -> member.report().getPhase() != MemberPhase.MEMBER_SERVING);
         return serving;
@@ -250,12 +252,12 @@
      * @param random draws when there are more
      * @return reports
      */
-    public List<MemberReport> drawServing(long nowMillis, int most, Random random) {
+    public List<MemberReport> sampleServing(long nowMillis, int most, Random random) {
         List<MemberReport> serving = serving(nowMillis);
         if (serving.size() <= most) {
             return serving;
         }
-        boolean ownServes = own.getPhase() == MemberPhase.MEMBER_SERVING;
+        boolean ownServes = localReport.getPhase() == MemberPhase.MEMBER_SERVING;
         Collections.shuffle(serving.subList(ownServes ? 1 : 0, serving.size()), random);
         return serving.subList(0, most);
     }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Candidate.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/Candidate.java
@@ -28,9 +28,9 @@
      * @param nowMillis monotonic time in milliseconds
      */
     public void recordDispatch(long nowMillis) {
-        state.health().sent(nowMillis);
+        state.health().recordDispatch(nowMillis);
         if (coldAllowance > 0) {
-            state.coldGate().sent(nowMillis);
+            state.coldStartLimiter().recordDispatch(nowMillis);
         }
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/TargetSelector.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/TargetSelector.java
@@ -6,7 +6,7 @@
 import org.whinwharf.traffic.catalog.TierRank;
 import org.whinwharf.traffic.policy.Mechanism;
 import org.whinwharf.traffic.policy.Policy;
-import org.whinwharf.traffic.target.PromptCache;
+import org.whinwharf.traffic.target.PromptCacheIndex;
 import org.whinwharf.traffic.target.TargetSpeed;
 import org.whinwharf.traffic.target.TargetState;
 
@@ -46,7 +46,7 @@
     /** Speed assumed for a target without measurements. */
     private static final TargetSpeed ASSUMED_SPEED = new TargetSpeed();
 
-    private final PromptCache promptCache;
+    private final PromptCacheIndex promptCache;
     private final ColdShares coldShares;
     private final DoubleSupplier jitter;
     private final Policy policy;
@@ -59,7 +59,7 @@
      * @param jitter random fraction that is added to the score of each engine; without it, processes that select
      *     independently would all pick the fastest engine at once
      */
-    public TargetSelector(PromptCache promptCache, ColdShares coldShares, DoubleSupplier jitter) {
+    public TargetSelector(PromptCacheIndex promptCache, ColdShares coldShares, DoubleSupplier jitter) {
         this(promptCache, coldShares, jitter, Policy.ALL_ENABLED);
     }
 
@@ -71,7 +71,7 @@
      * @param jitter random fraction that is added to the score of each engine
      * @param policy enabled mechanisms
      */
-    public TargetSelector(PromptCache promptCache, ColdShares coldShares, DoubleSupplier jitter, Policy policy) {
+    public TargetSelector(PromptCacheIndex promptCache, ColdShares coldShares, DoubleSupplier jitter, Policy policy) {
         this.promptCache = promptCache;
         this.coldShares = coldShares;
         this.jitter = jitter;
@@ -102,7 +102,7 @@
             int allowance = 0;
             if (state.cold(nowMillis)) {
                 allowance = coldShares.allowance(state.target());
-                if (allowance == 0 || !state.coldGate().hasRoom(nowMillis, allowance)) {
+                if (allowance == 0 || !state.coldStartLimiter().hasCapacity(nowMillis, allowance)) {
                     continue;
                 }
             }
@@ -116,7 +116,7 @@
 
     private double maxOccupancy(int tierRank) {
         double full = policy.isEnabled(Mechanism.BEYOND_SLOTS) ? MAX_OCCUPANCY : 1;
-        int reserves = Math.min(TierRank.ofRoute(tierRank), MAX_RESERVE_RANKS);
+        int reserves = Math.min(TierRank.routeRank(tierRank), MAX_RESERVE_RANKS);
         return policy.isEnabled(Mechanism.RESERVE_BY_RANK) ? full - RESERVE_PER_RANK * reserves : full;
     }
 
@@ -156,7 +156,7 @@
     }
 
     private double firstEventMillisOnceFree(TargetState state, Demand demand, long nowMillis) {
-        return speed(state).firstEventMillis(uncachedTokens(demand, state, nowMillis), 1) + SLOT_WAIT_MILLIS;
+        return speed(state).estimatedFirstEventMillis(uncachedTokens(demand, state, nowMillis), 1) + SLOT_WAIT_MILLIS;
     }
 
     private boolean eligible(
@@ -174,9 +174,9 @@
         double penaltyMillis =
                 demand.dataCentre().equals(state.target().dataCentre()) ? 0 : CROSS_DATA_CENTRE_PENALTY_MILLIS;
         long uncachedTokens = uncachedTokens(demand, state, nowMillis);
-        long tokensAhead = uncachedTokens + state.prefillTokens();
-        double predictedMillis = speed(state).firstEventMillis(tokensAhead, occupancy) + penaltyMillis;
-        double answerMillis = speed(state).answerMillis(demand.maxAnswerTokens());
+        long tokensAhead = uncachedTokens + state.pendingPrefillTokens();
+        double predictedMillis = speed(state).estimatedFirstEventMillis(tokensAhead, occupancy) + penaltyMillis;
+        double answerMillis = speed(state).estimatedAnswerMillis(demand.maxAnswerTokens());
         double scoreMillis = predictedMillis;
         if (policy.isEnabled(Mechanism.ANSWER_LENGTH)) {
             scoreMillis += answerMillis * ANSWER_WEIGHT;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/QuotaAccount.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/QuotaAccount.java
@@ -96,7 +96,7 @@
      * @param nowMillis steady time in milliseconds
      * @return true when it is admitted
      */
-    public boolean tryAdmitAlone(long tokens, int processes, long nowMillis) {
+    public boolean tryAdmitUncoordinated(long tokens, int processes, long nowMillis) {
         double pacePerSecond = ratePerSecond * PACE_SHARES / processes;
         aloneLevel = Math.min(
                 pacePerSecond * PACE_SAVED_SECONDS, aloneLevel + pacePerSecond * (nowMillis - aloneAtMillis) / 1_000.0);
@@ -117,7 +117,7 @@
      *
      * @param tokens what was admitted
      */
-    public void giveBack(long tokens) {
+    public void refund(long tokens) {
         level = Math.min(burst, level + tokens);
     }
 
@@ -127,7 +127,7 @@
      * @param tokens tokens since it was last heard of
      * @param nowMillis steady time in milliseconds
      */
-    public void admittedElsewhere(long tokens, long nowMillis) {
+    public void recordRemoteAdmission(long tokens, long nowMillis) {
         refill(nowMillis);
         level -= tokens;
     }
@@ -140,7 +140,7 @@
      * @param processes processes that admit from the same quota
      * @return time in milliseconds
      */
-    public long comeBackMillis(int processes) {
+    public long retryAfterMillis(int processes) {
         double ownRate = ratePerSecond / Math.max(1, processes);
         double debtSeconds = Math.max(0, -level) / ratePerSecond;
         return (long) ((debtSeconds + refusedBacklog / ownRate) * 1_000) + 1;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/QuotaLedger.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/QuotaLedger.java
@@ -17,7 +17,7 @@
     private final Map<String, Heard> heardByProcess = new HashMap<>();
     private final Map<Advance, Long> advances = new HashMap<>();
     private final Map<Integer, String> namesByDigest = new HashMap<>();
-    private double reachableShare = 1;
+    private double updateReachableShare = 1;
     private int processes = 1;
 
     /**
@@ -57,7 +57,7 @@
             QuotaAccount account = accounts.get(organisation.name());
             if (account == null) {
                 account = new QuotaAccount(rate, burst, freshFleet, nowMillis);
-                account.reachableShare(reachableShare, nowMillis);
+                account.reachableShare(updateReachableShare, nowMillis);
                 accounts.put(organisation.name(), account);
             } else {
                 account.update(rate, burst, nowMillis);
@@ -90,12 +90,12 @@
      * @param nowMillis steady time in milliseconds
      * @return true when it is admitted
      */
-    public boolean tryAdmitAlone(String organisation, long tokens, long nowMillis) {
-        if (processes < MemberTable.LARGE_FLEET) {
+    public boolean tryAdmitUncoordinated(String organisation, long tokens, long nowMillis) {
+        if (processes < MemberTable.LARGE_FLEET_THRESHOLD) {
             return tryAdmit(organisation, tokens, nowMillis);
         }
         QuotaAccount account = accounts.get(organisation);
-        if (account != null && !account.tryAdmitAlone(tokens, processes, nowMillis)) {
+        if (account != null && !account.tryAdmitUncoordinated(tokens, processes, nowMillis)) {
             return false;
         }
         addToTotal(organisation.hashCode(), tokens);
@@ -115,10 +115,10 @@
      * @param organisation name of the organisation
      * @param tokens what was admitted
      */
-    public void giveBack(String organisation, long tokens) {
+    public void refund(String organisation, long tokens) {
         QuotaAccount account = accounts.get(organisation);
         if (account != null) {
-            account.giveBack(tokens);
+            account.refund(tokens);
         }
         givenBack.merge(organisation.hashCode(), tokens, Long::sum);
     }
@@ -129,9 +129,9 @@
      * @param organisation name of the organisation
      * @return time in milliseconds; 0 when it has no quota
      */
-    public long comeBackMillis(String organisation) {
+    public long retryAfterMillis(String organisation) {
         QuotaAccount account = accounts.get(organisation);
-        return account == null ? 0 : account.comeBackMillis(1 + heardByProcess.size());
+        return account == null ? 0 : account.retryAfterMillis(1 + heardByProcess.size());
     }
 
     /**
@@ -166,7 +166,7 @@
      * @param total what it admitted since its start
      * @param nowMillis steady time in milliseconds
      */
-    public void heard(String process, long incarnation, int organisationDigest, long total, long nowMillis) {
+    public void receiveTotal(String process, long incarnation, int organisationDigest, long total, long nowMillis) {
         Heard heard = heardByProcess.get(process);
         if (heard == null) {
             heard = new Heard(incarnation, nowMillis, new HashMap<>());
@@ -189,7 +189,7 @@
         if (account != null) {
             long taken = Math.min(total - before, advances.getOrDefault(new Advance(process, organisationDigest), 0L));
             advances.merge(new Advance(process, organisationDigest), -taken, Long::sum);
-            account.admittedElsewhere(total - before - taken, nowMillis);
+            account.recordRemoteAdmission(total - before - taken, nowMillis);
         }
     }
 
@@ -224,7 +224,7 @@
     public void refundFor(String process, String organisation, long tokens) {
         QuotaAccount account = accounts.get(organisation);
         if (account != null) {
-            account.giveBack(tokens);
+            account.refund(tokens);
             advances.merge(new Advance(process, organisation.hashCode()), -tokens, Long::sum);
         }
     }
@@ -236,10 +236,10 @@
      * @param tokens what it uses
      * @param nowMillis steady time in milliseconds
      */
-    public void admittedByCoordinator(String organisation, long tokens, long nowMillis) {
+    public void recordCoordinatorAdmission(String organisation, long tokens, long nowMillis) {
         QuotaAccount account = accounts.get(organisation);
         if (account != null) {
-            account.admittedElsewhere(tokens, nowMillis);
+            account.recordRemoteAdmission(tokens, nowMillis);
         }
         addToTotal(organisation.hashCode(), tokens);
     }
@@ -249,7 +249,7 @@
      *
      * @param count processes that are heard from, this one included
      */
-    public void fleet(int count) {
+    public void updateProcessCount(int count) {
         processes = count;
     }
 
@@ -259,9 +259,9 @@
      * @param share above 0, at most 1
      * @param nowMillis steady time in milliseconds
      */
-    public void reachableShare(double share, long nowMillis) {
-        if (share != reachableShare) {
-            reachableShare = share;
+    public void updateReachableShare(double share, long nowMillis) {
+        if (share != updateReachableShare) {
+            updateReachableShare = share;
             accounts.values().forEach(account -> account.reachableShare(share, nowMillis));
         }
     }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/retry/RetryBudget.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/retry/RetryBudget.java
@@ -35,7 +35,7 @@
      *
      * @param nowMillis steady time in milliseconds
      */
-    public void request(long nowMillis) {
+    public void recordRequest(long nowMillis) {
         requestsAtMillis.addLast(nowMillis);
         expire(nowMillis);
     }
@@ -47,7 +47,7 @@
      * @param allowance this process's part of the fixed allowance
      * @return true when the repeat may be sent
      */
-    public boolean tryRepeat(long nowMillis, double allowance) {
+    public boolean tryRetry(long nowMillis, double allowance) {
         expire(nowMillis);
         if (repeatsAtMillis.size() + 1 > requestsAtMillis.size() * ratio * USED_SHARE + allowance) {
             return false;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/ColdGate.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/ColdStartLimiter.java
@@ -10,7 +10,7 @@
  * sum in time. So a few processes, chosen by rendezvous hashing, may send to it at all, each a fixed share; one more
  * process that chose itself from an older list of members still leaves the sum within the bound.
  */
-public final class ColdGate {
+public final class ColdStartLimiter {
     /** Window of the bound, with 200 ms added for requests of one second that arrive bunched. */
     private static final long WINDOW_MILLIS = 1_200;
 
@@ -23,7 +23,7 @@
      * @param mostInWindow most requests this process may send in a second
      * @return true when there is room
      */
-    public boolean hasRoom(long nowMillis, int mostInWindow) {
+    public boolean hasCapacity(long nowMillis, int mostInWindow) {
         while (!sentAtMillis.isEmpty() && nowMillis - sentAtMillis.peekFirst() > WINDOW_MILLIS) {
             sentAtMillis.removeFirst();
         }
@@ -35,7 +35,7 @@
      *
      * @param nowMillis steady time in milliseconds
      */
-    public void sent(long nowMillis) {
+    public void recordDispatch(long nowMillis) {
         sentAtMillis.addLast(nowMillis);
         if (sentAtMillis.size() > 64) {
             sentAtMillis.removeFirst();
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/PromptCache.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/PromptCacheIndex.java
@@ -10,7 +10,7 @@
  * <p>At high load the one engine that read a prompt last mostly has no free slot, so all that read it lately are
  * remembered. Bounded: a lost entry costs one prompt that is read again, nothing more.
  */
-public final class PromptCache {
+public final class PromptCacheIndex {
     /** Prompts remembered; ten times the subjects that a fleet of ninety sees within the time of keeping. */
     private static final int MOST_PROMPTS = 4_000;
     /** Targets remembered for each prompt: at one free slot in six, some of eight is free four times in five. */
@@ -47,7 +47,7 @@
      * @param targetId id of the target
      * @param nowMillis steady time in milliseconds
      */
-    public void reads(List<PromptPart> parts, String targetId, long nowMillis) {
+    public void recordPrefill(List<PromptPart> parts, String targetId, long nowMillis) {
         if (!parts.isEmpty()) {
             readAtMillis
                     .computeIfAbsent(last(parts).id(), id -> new Bounded<>(MOST_TARGETS))
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/Target.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/Target.java
@@ -60,14 +60,14 @@
      *
      * @return time in milliseconds from when that was published; 0 when warm
      */
-    long coldLeftMillis();
+    long coldRemainingMillis();
 
     /**
      * Returns when it started.
      *
      * @return Unix time in milliseconds; 0 when it was not published
      */
-    long bornUnixMillis();
+    long startedUnixMillis();
 
     /**
      * Returns the models it has loaded.
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetHealth.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetHealth.java
@@ -33,7 +33,7 @@
     private long trialAtMillis;
 
     /** Notes a request that the target answered properly, whatever the answer says. */
-    public void succeeded() {
+    public void recordSuccess() {
         onTrial = false;
         failuresInRow = 0;
         failureShare *= 1 - NEWEST_WEIGHT;
@@ -49,7 +49,7 @@
      * @param unreachable true when no connection could be made, which ejects at once
      * @return true when this ejected the target
      */
-    public boolean failed(long nowMillis, boolean unreachable) {
+    public boolean recordFailure(long nowMillis, boolean unreachable) {
         failuresInRow++;
         failureShare += (1 - failureShare) * NEWEST_WEIGHT;
         return eject(nowMillis, unreachable || failuresInRow >= EJECT_AFTER_FAILURES);
@@ -62,13 +62,13 @@
      * @param nowMillis steady time in milliseconds
      * @return true when this ejected the target
      */
-    public boolean erred(long nowMillis) {
+    public boolean recordErrorAnswer(long nowMillis) {
         failureShare += (1 - failureShare) * NEWEST_WEIGHT;
         return eject(nowMillis, false);
     }
 
     /** Notes that a request begins to be answered with success. */
-    public void answering() {
+    public void recordAnswerStart() {
         onTrial = false;
     }
 
@@ -87,7 +87,7 @@
      *
      * @param nowMillis steady time in milliseconds
      */
-    public void sent(long nowMillis) {
+    public void recordDispatch(long nowMillis) {
         trialAtMillis = nowMillis;
     }
 
@@ -130,7 +130,7 @@
      * @param nowMillis steady time in milliseconds
      * @param healthy true when the target said that it is healthy
      */
-    public void probed(long nowMillis, boolean healthy) {
+    public void recordProbeResult(long nowMillis, boolean healthy) {
         probing = false;
         if (healthy) {
             ejected = false;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetSpeed.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetSpeed.java
@@ -8,7 +8,7 @@
  */
 public final class TargetSpeed {
     /** Prompt tokens read in a millisecond before any reading: a current engine's published figure. */
-    public static final double ASSUMED_TOKENS_PER_MILLI = 60;
+    public static final double ASSUMED_PREFILL_TOKENS_PER_MILLI = 60;
     /** Time to a first event beside the prompt, before any reading. */
     private static final double ASSUMED_BASE_MILLIS = 20;
     /** Weight of the newest reading: a change of speed shows after about five requests. */
@@ -21,7 +21,7 @@
     /** Time for a token of an answer's bound before any reading: a current engine's published step. */
     private static final double ASSUMED_MILLIS_PER_ANSWER_TOKEN = 3.3;
 
-    private double factor = 1;
+    private double slowdownFactor = 1;
     private double millisPerAnswerToken = ASSUMED_MILLIS_PER_ANSWER_TOKEN;
 
     /**
@@ -31,8 +31,8 @@
      * @param occupancy requests at the target over its slots
      * @return time in milliseconds
      */
-    public double firstEventMillis(long uncachedTokens, double occupancy) {
-        return factor * baselineMillis(uncachedTokens, occupancy);
+    public double estimatedFirstEventMillis(long uncachedTokens, double occupancy) {
+        return slowdownFactor * baselineMillis(uncachedTokens, occupancy);
     }
 
     /**
@@ -42,10 +42,10 @@
      * @param occupancy occupancy that the prediction was made with
      * @param tookMillis time from sending to the first event
      */
-    public void observed(long uncachedTokens, double occupancy, long tookMillis) {
+    public void recordFirstEvent(long uncachedTokens, double occupancy, long tookMillis) {
         double seen = (tookMillis + 1) / baselineMillis(uncachedTokens, occupancy);
         double bounded = Math.max(FASTEST_FACTOR, Math.min(SLOWEST_FACTOR, seen));
-        factor += (bounded - factor) * NEWEST_WEIGHT;
+        slowdownFactor += (bounded - slowdownFactor) * NEWEST_WEIGHT;
     }
 
     /**
@@ -54,7 +54,7 @@
      * @param answerTokens bound on the answer's length
      * @return time in milliseconds
      */
-    public double answerMillis(long answerTokens) {
+    public double estimatedAnswerMillis(long answerTokens) {
         return answerTokens * millisPerAnswerToken;
     }
 
@@ -65,8 +65,8 @@
      * @param answerTokens bound on the answer's length
      * @return time in milliseconds
      */
-    public static double assumedHoldMillis(long promptTokens, long answerTokens) {
-        return promptTokens / ASSUMED_TOKENS_PER_MILLI + answerTokens * ASSUMED_MILLIS_PER_ANSWER_TOKEN;
+    public static double assumedSlotMillis(long promptTokens, long answerTokens) {
+        return promptTokens / ASSUMED_PREFILL_TOKENS_PER_MILLI + answerTokens * ASSUMED_MILLIS_PER_ANSWER_TOKEN;
     }
 
     /**
@@ -75,7 +75,7 @@
      * @param answerTokens bound on its length, above 0
      * @param tookMillis time from its first event to its last
      */
-    public void answered(long answerTokens, long tookMillis) {
+    public void recordAnswer(long answerTokens, long tookMillis) {
         double seen = Math.min(tookMillis / (double) answerTokens, ASSUMED_MILLIS_PER_ANSWER_TOKEN * SLOWEST_FACTOR);
         millisPerAnswerToken += (seen - millisPerAnswerToken) * NEWEST_WEIGHT;
     }
@@ -85,11 +85,11 @@
      *
      * @return 1 for an engine of the assumed speed, more for a slower one
      */
-    public double factor() {
-        return factor;
+    public double slowdownFactor() {
+        return slowdownFactor;
     }
 
     private static double baselineMillis(long uncachedTokens, double occupancy) {
-        return (ASSUMED_BASE_MILLIS + uncachedTokens / ASSUMED_TOKENS_PER_MILLI) * (1 + occupancy);
+        return (ASSUMED_BASE_MILLIS + uncachedTokens / ASSUMED_PREFILL_TOKENS_PER_MILLI) * (1 + occupancy);
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetState.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetState.java
@@ -8,9 +8,9 @@
     private Target target;
     private final TargetHealth health = new TargetHealth();
     private final TargetSpeed speed = new TargetSpeed();
-    private final ColdGate coldGate = new ColdGate();
-    private int ownRunning;
-    private long ownPrefillTokens;
+    private final ColdStartLimiter coldStartLimiter = new ColdStartLimiter();
+    private int localInFlight;
+    private long localPrefillTokens;
     private int othersRunning;
     private long othersPrefillTokens;
     private int coordinatedRunning;
@@ -70,8 +70,8 @@
      *
      * @return gate
      */
-    public ColdGate coldGate() {
-        return coldGate;
+    public ColdStartLimiter coldStartLimiter() {
+        return coldStartLimiter;
     }
 
     /**
@@ -79,7 +79,7 @@
      *
      * @param untilMillis steady time in milliseconds at which it is warm again
      */
-    public void coldUntil(long untilMillis) {
+    public void markColdUntil(long untilMillis) {
         coldUntilMillis = Math.max(coldUntilMillis, untilMillis);
     }
 
@@ -98,7 +98,7 @@
      *
      * @param atMillis steady time from which it counts as gone
      */
-    public void goneAt(long atMillis) {
+    public void markRemovedAt(long atMillis) {
         goneAtMillis = Math.min(goneAtMillis, atMillis);
     }
 
@@ -108,7 +108,7 @@
      * @param nowMillis steady time in milliseconds
      * @return true when it counts as gone
      */
-    public boolean gone(long nowMillis) {
+    public boolean removed(long nowMillis) {
         return nowMillis >= goneAtMillis;
     }
 
@@ -117,7 +117,7 @@
      *
      * @param nowMillis steady time in milliseconds
      */
-    public void refusedAsFull(long nowMillis) {
+    public void recordFullRejection(long nowMillis) {
         fullUntilMillis = nowMillis + FULL_PAUSE_MILLIS;
     }
 
@@ -128,7 +128,7 @@
      * @return true when nothing speaks against it
      */
     public boolean usable(long nowMillis) {
-        return !target.draining() && !gone(nowMillis) && !health.ejected() && nowMillis >= fullUntilMillis;
+        return !target.draining() && !removed(nowMillis) && !health.ejected() && nowMillis >= fullUntilMillis;
     }
 
     /**
@@ -136,23 +136,23 @@
      *
      * @param uncachedTokens prompt tokens that the target has to read
      */
-    public void began(long uncachedTokens) {
-        ownRunning++;
-        ownPrefillTokens += uncachedTokens;
+    public void recordDispatch(long uncachedTokens) {
+        localInFlight++;
+        localPrefillTokens += uncachedTokens;
     }
 
     /**
      * Notes that a prompt was read: the first event came, or the request ended before.
      *
-     * @param uncachedTokens tokens given to {@link #began}
+     * @param uncachedTokens tokens given to {@link #recordDispatch}
      */
-    public void prefilled(long uncachedTokens) {
-        ownPrefillTokens -= uncachedTokens;
+    public void recordPrefillEnd(long uncachedTokens) {
+        localPrefillTokens -= uncachedTokens;
     }
 
     /** Notes the end of a request. */
-    public void ended() {
-        ownRunning--;
+    public void recordEnd() {
+        localInFlight--;
     }
 
     /**
@@ -161,7 +161,7 @@
      * @param running requests
      * @param prefillTokens prompt tokens not yet read
      */
-    public void others(int running, long prefillTokens) {
+    public void updateRemoteLoad(int running, long prefillTokens) {
         othersRunning = running;
         othersPrefillTokens = prefillTokens;
     }
@@ -171,8 +171,8 @@
      *
      * @return requests
      */
-    public int ownRunning() {
-        return ownRunning;
+    public int localInFlight() {
+        return localInFlight;
     }
 
     /**
@@ -180,8 +180,8 @@
      *
      * @return tokens
      */
-    public long ownPrefillTokens() {
-        return ownPrefillTokens;
+    public long localPrefillTokens() {
+        return localPrefillTokens;
     }
 
     /**
@@ -190,7 +190,7 @@
      * @param running requests
      * @param prefillTokens prompt tokens not yet read
      */
-    public void coordinated(int running, long prefillTokens) {
+    public void updateCoordinatedLoad(int running, long prefillTokens) {
         coordinatedRunning = running;
         coordinatedPrefillTokens = prefillTokens;
     }
@@ -201,8 +201,8 @@
      *
      * @return requests of this and of other processes
      */
-    public int running() {
-        return Math.max(coordinatedRunning, ownRunning + othersRunning);
+    public int inFlight() {
+        return Math.max(coordinatedRunning, localInFlight + othersRunning);
     }
 
     /**
@@ -210,8 +210,8 @@
      *
      * @return tokens of this and of other processes
      */
-    public long prefillTokens() {
-        return Math.max(coordinatedPrefillTokens, ownPrefillTokens + othersPrefillTokens);
+    public long pendingPrefillTokens() {
+        return Math.max(coordinatedPrefillTokens, localPrefillTokens + othersPrefillTokens);
     }
 
     /**
@@ -220,6 +220,6 @@
      * @return occupancy; above 1 when some wait there
      */
     public double occupancy() {
-        return running() / (double) Math.max(1, target.slots());
+        return inFlight() / (double) Math.max(1, target.slots());
     }
 }
