--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemSpreadTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemSpreadTest.java
@@ -250,24 +250,24 @@
 
         private void gossip() {
             members.updateLocalReport(report().toBuilder());
-            MemberReport own = members.localReport();
-            List<MemberHeartbeat> beats = members.heartbeats(90, nowMillis);
+            MemberReport localReport = members.localReport();
+            List<MemberHeartbeat> heartbeats = members.heartbeats(90, nowMillis);
             List<Member> alive = members.alive(nowMillis);
             for (int i = 0; i < 2 && !alive.isEmpty(); i++) {
                 SimulatedFront receiver = byIp.get(
                         alive.get(random.nextInt(alive.size())).report().getIp());
                 if (random.nextDouble() >= DATAGRAM_LOSS_RATIO) {
-                    schedule(arrivalMillis(), () -> receiver.receiveGossip(own, beats));
+                    schedule(arrivalMillis(), () -> receiver.receiveGossip(localReport, heartbeats));
                 }
             }
             schedule(nowMillis + GOSSIP_INTERVAL_MILLIS, this::gossip);
         }
 
-        private void receiveGossip(MemberReport report, List<MemberHeartbeat> beats) {
+        private void receiveGossip(MemberReport report, List<MemberHeartbeat> heartbeats) {
             if (members.receive(report, nowMillis)) {
                 feed.reportReceived(report);
             }
-            beats.forEach(beat -> members.receive(beat, nowMillis));
+            heartbeats.forEach(heartbeat -> members.receive(heartbeat, nowMillis));
         }
 
         private void tick() {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Gossip.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Gossip.java
@@ -112,11 +112,11 @@
         }
         addSeeds(ips, false);
         FleetDatagram.Builder datagram = newDatagram().addMembers(members.localReport());
-        for (MemberHeartbeat beat : members.heartbeats(MAX_HEARTBEATS, ticker.nowMillis())) {
-            datagram.addBeatMembers(beat.nameDigest())
-                    .addBeatIncarnations(beat.incarnationDigest())
-                    .addBeatSequences((int) beat.sequence())
-                    .addBeatPhases(beat.phase());
+        for (MemberHeartbeat heartbeat : members.heartbeats(MAX_HEARTBEATS, ticker.nowMillis())) {
+            datagram.addBeatMembers(heartbeat.nameDigest())
+                    .addBeatIncarnations(heartbeat.incarnationDigest())
+                    .addBeatSequences((int) heartbeat.sequence())
+                    .addBeatPhases(heartbeat.phase());
         }
         send(datagram.setRosterWanted(unknownMemberSeen).build(), ips);
     }
@@ -165,12 +165,12 @@
             }
         }
         for (int i = 0; i < datagram.getBeatMembersCount(); i++) {
-            MemberHeartbeat beat = new MemberHeartbeat(
+            MemberHeartbeat heartbeat = new MemberHeartbeat(
                     datagram.getBeatMembers(i),
                     datagram.getBeatIncarnations(i),
                     datagram.getBeatSequences(i),
                     datagram.getBeatPhases(i));
-            unknownMemberSeen |= !members.receive(beat, nowMillis);
+            unknownMemberSeen |= !members.receive(heartbeat, nowMillis);
         }
         if (datagram.getRosterWanted()) {
             sendRoster(senderIp);
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFeed.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFeed.java
@@ -24,8 +24,8 @@
 /**
  * Keeps the published items up to date, from the publishing service or otherwise from peers.
  *
- * <p>A process whose own watch fails would continue with revoked keys and old routes while its peers have newer ones.
- * It therefore polls peers until its own watch works again. In a large fleet only a few processes of each data centre
+ * <p>A process whose local watch fails would continue with revoked keys and old routes while its peers have newer ones.
+ * It therefore polls peers until the local watch works again. In a large fleet only a few processes of each data centre
  * watch the service, because its read capacity grows more slowly than the fleet; the others poll the watchers.
  */
 public final class ItemFeed implements ItemFreshness {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFreshness.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemFreshness.java
@@ -1,6 +1,6 @@
 package org.whinwharf.front;
 
-/** Reports how fresh the published items of this process are, based on its own watch or on the answers of peers. */
+/** Reports how fresh the published items of this process are, based on the local watch or on the answers of peers. */
 interface ItemFreshness {
     /**
      * Returns the time since the items were last confirmed to be current.
@@ -18,9 +18,9 @@
     long readableForMillis();
 
     /**
-     * Tells whether this process watches the publishing service, successfully, and continues to do so.
+     * Tells whether the local watch of the publishing service works and continues.
      *
-     * @return true while the local watch works and this process is to keep it
+     * @return true while the watch works and this process still has the watcher role
      */
     boolean watchHealthy();
 }
