--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
@@ -36,27 +36,30 @@
 import org.whinwharf.wire.fleet.RunsUnderWay;
 
 /**
- * This process's part in the common placement of requests: it asks the coordinator of a service for targets, and
- * answers the others where it coordinates itself.
+ * Places requests through the coordinator of their service, and runs the coordinator of the services that this process
+ * coordinates itself.
  *
- * <p>Each ask is answered at once, if only with the word that the request waits. A coordinator that does not answer is
- * dead, frozen, cut off or overloaded; then the next in rank is asked, and after that the process chooses on its own.
- * So a lost coordinator costs its requests a fifth of a second at most.
+ * <p>A coordinator replies to each placement request at once, if only to say that the request is queued. A coordinator
+ * that does not reply is dead, frozen, partitioned or overloaded; the request then goes to the next in rank, and after
+ * that this process places it locally. A lost coordinator therefore delays its requests by 200 ms at most.
  */
 final class Coordination {
-    /** Time after which an unanswered ask is sent again: ten times the way there and back, a datagram may be lost. */
+    /** Interval at which an unanswered request is resent, since datagrams may be lost: ten round-trip times. */
     private static final long RESEND_INTERVAL_MILLIS = 40;
-    /** Time for which a silent coordinator is passed over: about what a restart takes. */
+    /** Time for which a silent coordinator is skipped: about as long as a restart takes. */
     private static final long SILENT_COORDINATOR_SKIP_MILLIS = 2_000;
-    /** Time between asks of a request that waits; they show that the coordinator still has it. */
+    /**
+     * Interval at which the placement request of a queued request is repeated, to check that the coordinator still has
+     * it.
+     */
     private static final long QUEUED_REFRESH_INTERVAL_MILLIS = 300;
-    /** Time between lists of what is under way. */
+    /** Interval at which the lists of running requests are sent. */
     private static final long RUN_REPORT_INTERVAL_MILLIS = 1_000;
-    /** Processes that get these lists: the coordinator, and one that is ready to take over from it. */
+    /** Number of processes that receive these lists: the coordinator and the next in rank, so that it can take over. */
     private static final int RUN_REPORT_RECIPIENTS = 2;
-    /** Age up to which a ranking is used again; sorting ninety processes for each request would cost more than it. */
+    /** Age up to which a ranking is reused; ranking 90 processes for each request would cost more than the request. */
     private static final long MAX_RANKING_AGE_MILLIS = 100;
-    /** Coordinators that one request is put to. */
+    /** Number of coordinators tried for one request before it is placed locally. */
     private static final int MAX_COORDINATORS_TRIED = 2;
 
     private final FrontSettings settings;
@@ -76,15 +79,15 @@
     private long runsReportedAtMillis;
 
     /**
-     * Creates this process's part.
+     * Creates the placement client and coordinator of this process.
      *
      * @param settings settings of this process
-     * @param members the fleet
-     * @param targets all targets
-     * @param datagrams ways to the others
-     * @param ticker steady clock
-     * @param coordinators builds the coordinator, given who takes its decisions
-     * @param coordinatedServices tells which services are coordinated
+     * @param members members of the fleet
+     * @param targets all known targets
+     * @param datagrams datagrams to and from peers
+     * @param ticker monotonic clock
+     * @param coordinators creates the coordinator, given the listener for its decisions
+     * @param coordinatedServices matches the services whose requests a coordinator places
      */
     Coordination(
             FrontSettings settings,
@@ -105,7 +108,7 @@
         datagrams.addListener(this::receive);
     }
 
-    /** Tells whether requests to a service are placed by a coordinator. */
+    /** Tells whether a coordinator places the requests of a service. */
     boolean isCoordinated(String service) {
         return coordinatedServices.test(service);
     }
@@ -117,14 +120,14 @@
                 .isPresent();
     }
 
-    /** Tells whether another process has to be asked for the quota of requests to a service. */
+    /** Tells whether another process coordinates a service, and so admits its requests against their quotas. */
     boolean hasRemoteCoordinator(String service) {
         return coordinatorOf(service)
                 .filter(report -> !report.getName().equals(settings.name()))
                 .isPresent();
     }
 
-    /** Returns the addresses of the coordinators of all services with requests under way here. */
+    /** Returns the addresses of the highest-ranked coordinators of each service with requests in flight here. */
     Collection<String> coordinatorIps() {
         Set<String> ips = new LinkedHashSet<>();
         activeServices()
@@ -134,7 +137,7 @@
         return ips;
     }
 
-    /** Tells whether a request of this process, or one of another here, has no target yet. */
+    /** Tells whether a request of this process, or one queued at the local coordinator, has no target yet. */
     boolean hasPendingRequests() {
         if (coordinator.queuedRequests() > 0) {
             return true;
@@ -147,12 +150,12 @@
         return false;
     }
 
-    /** Returns how many requests of all processes wait here. */
+    /** Returns the number of requests of all processes that are queued at the local coordinator. */
     int queuedRequests() {
         return coordinator.queuedRequests();
     }
 
-    /** Asks for a target. */
+    /** Requests a target for a request; the outcome is passed to the listener. */
     void requestPlacement(String service, PlacementListener listener) {
         PlacementTicket ticket = new PlacementTicket(this, nextId++, service, listener);
         tickets.put(ticket.id(), ticket);
@@ -160,7 +163,7 @@
         sendToCoordinator(ticket);
     }
 
-    /** Notes a request that this process places on its own; coordinators hear of it with the next list. */
+    /** Registers a request that this process placed itself; coordinators learn of it from the next list. */
     PlacementTicket placedLocally(String service, Candidate candidate) {
         PlacementTicket ticket = new PlacementTicket(this, nextId++, service, null);
         ticket.placed(candidate.state().target().id(), candidate.uncachedTokens());
@@ -171,41 +174,41 @@
     }
 
     private void sendToCoordinator(PlacementTicket ticket) {
-        Optional<MemberReport> best = ticket.coordinatorsTried() >= MAX_COORDINATORS_TRIED
+        Optional<MemberReport> next = ticket.coordinatorsTried() >= MAX_COORDINATORS_TRIED
                 ? Optional.empty()
                 : coordinatorOf(ticket.service());
-        if (best.isEmpty()) {
+        if (next.isEmpty()) {
             tickets.remove(ticket.id());
             ticket.listener().coordinatorUnavailable();
             return;
         }
-        ticket.requestedFrom(best.get().getName(), best.get().getIp(), ticker.nowMillis());
-        recordCoordinator(ticket.service(), best.get().getName());
+        ticket.requestedFrom(next.get().getName(), next.get().getIp(), ticker.nowMillis());
+        recordCoordinator(ticket.service(), next.get().getName());
         sendRequest(ticket);
     }
 
     private void sendRequest(PlacementTicket ticket) {
-        PlacementAsk ask = ticket.listener().placementRequest(ticket.id());
+        PlacementAsk request = ticket.listener().placementRequest(ticket.id());
         if (ticket.coordinatorName().equals(settings.name())) {
-            receiveRequest(settings.name(), ask, ticker.nowMillis());
+            receiveRequest(settings.name(), request, ticker.nowMillis());
         } else {
-            datagrams.send(datagram().addAsks(ask).build(), ticket.coordinatorIp());
+            datagrams.send(datagram().addAsks(request).build(), ticket.coordinatorIp());
         }
     }
 
     private void recordCoordinator(String service, String name) {
-        String before = lastCoordinators.put(service, name);
-        if (!name.equals(before)) {
+        String previous = lastCoordinators.put(service, name);
+        if (!name.equals(previous)) {
             reportRuns(service);
             EventLog.event(LogEvent.COORDINATOR_CHANGED)
                     .with(EventField.SERVICE, service)
-                    .with(EventField.FROM, before == null ? "" : before)
+                    .with(EventField.FROM, previous == null ? "" : previous)
                     .with(EventField.TO, name)
                     .call();
         }
     }
 
-    /** Sends unanswered asks again, turns away from silent coordinators, and does the own coordinator's duty. */
+    /** Resends unanswered placement requests, skips silent coordinators and advances the local coordinator. */
     void tick() {
         long nowMillis = ticker.nowMillis();
         coordinator.advance(nowMillis);
@@ -240,7 +243,7 @@
         }
     }
 
-    /** Tells a ticket's coordinator what became of it. */
+    /** Reports the progress of a ticket's request to its coordinator. */
     void report(PlacementTicket ticket, RunEvent event, long tookMillis) {
         report(ticket.coordinatorName(), ticket.coordinatorIp(), ticket.id(), event, tookMillis);
     }
@@ -276,12 +279,12 @@
         tickets.values().stream()
                 .filter(ticket -> ticket.service().equals(service))
                 .forEach(ticket -> ticket.addRunTo(runs));
-        RunsUnderWay list =
+        RunsUnderWay runList =
                 RunsUnderWay.newBuilder().setService(service).addAllRuns(runs).build();
-        FleetDatagram message = datagram().addRuns(list).build();
+        FleetDatagram message = datagram().addRuns(runList).build();
         ranking(service).stream().limit(RUN_REPORT_RECIPIENTS).forEach(report -> {
             if (report.getName().equals(settings.name())) {
-                receiveRuns(settings.name(), list);
+                receiveRuns(settings.name(), runList);
             } else {
                 datagrams.send(message, report.getIp());
             }
@@ -302,7 +305,7 @@
     }
 
     private List<MemberReport> rank(String service, long nowMillis) {
-        skippedUntilMillis.values().removeIf(untilMillis -> nowMillis >= untilMillis);
+        skippedUntilMillis.values().removeIf(endMillis -> nowMillis >= endMillis);
         List<Member> serving = members.servingMembers(nowMillis).stream()
                 .filter(member ->
                         !skippedUntilMillis.containsKey(member.report().getName()))
@@ -319,21 +322,21 @@
         String from = datagram.getFrom();
         if (datagram.getAsksCount() > 0) {
             requesterIps.put(from, fromIp);
-            datagram.getAsksList().forEach(ask -> receiveRequest(from, ask, nowMillis));
+            datagram.getAsksList().forEach(request -> receiveRequest(from, request, nowMillis));
         }
         datagram.getProgressList()
                 .forEach(progress -> coordinator.reportProgress(
                         from, progress.getId(), progress.getEvent(), progress.getTookMillis(), nowMillis));
-        datagram.getRunsList().forEach(list -> receiveRuns(from, list));
+        datagram.getRunsList().forEach(runList -> receiveRuns(from, runList));
         datagram.getRepliesList().forEach(reply -> receiveReply(from, fromIp, reply));
     }
 
-    private void receiveRuns(String from, RunsUnderWay list) {
+    private void receiveRuns(String from, RunsUnderWay runList) {
         Map<Long, RunningRequests.Run> runs = new HashMap<>();
-        list.getRunsList()
+        runList.getRunsList()
                 .forEach(
                         run -> runs.put(run.getId(), new RunningRequests.Run(run.getTarget(), run.getPrefillTokens())));
-        coordinator.reportInFlight(from, list.getService(), runs, ticker.nowMillis());
+        coordinator.reportInFlight(from, runList.getService(), runs, ticker.nowMillis());
     }
 
     private void receiveReply(String from, String fromIp, PlacementReply reply) {
@@ -342,7 +345,7 @@
         boolean current = ticket != null && ticket.coordinatorName().equals(from);
         if (!current || ticket.settled()) {
             if (granted && !(current && ticket.isPlacedAt(reply.getTarget()))) {
-                // The grant came too late; the place must not stay taken until the next list.
+                // The grant is stale; without this report its slot would stay taken until the next list.
                 report(from, fromIp, reply.getId(), RunEvent.RUN_GIVEN_UP, 0);
             }
             return;
@@ -351,25 +354,25 @@
             case PLACEMENT_GRANTED -> acceptGrant(ticket, reply);
             case PLACEMENT_WAITING -> ticket.queued(ticker.nowMillis());
             case PLACEMENT_SHED -> {
-                ticket.refused();
-                ticket.listener().shed(PlacementMessages.grounds(reply));
+                ticket.rejected();
+                ticket.listener().shed(PlacementMessages.rejectionDetails(reply));
             }
             case PLACEMENT_OVER_QUOTA -> {
-                ticket.refused();
-                ticket.listener().overQuota(PlacementMessages.grounds(reply));
+                ticket.rejected();
+                ticket.listener().overQuota(PlacementMessages.rejectionDetails(reply));
             }
             default ->
                 FrontLog.taskFailed(
-                        "reply of a coordinator",
-                        new IllegalArgumentException("unknown outcome " + reply.getOutcome()));
+                        "placement reply",
+                        new IllegalArgumentException("unknown placement outcome " + reply.getOutcome()));
         }
     }
 
     private void acceptGrant(PlacementTicket ticket, PlacementReply reply) {
         TargetEntry entry = targets.entry(reply.getTarget());
-        boolean coldUnknown = entry != null && entry.state().cold(ticker.nowMillis()) && !reply.getCold();
-        if (entry == null || coldUnknown || !targets.mayReceive(entry)) {
-            // This process knows better than the coordinator, by items that are newer here.
+        boolean coldnessMissed = entry != null && entry.state().cold(ticker.nowMillis()) && !reply.getCold();
+        if (entry == null || coldnessMissed || !targets.mayReceive(entry)) {
+            // The published items are newer here than at the coordinator, so its grant cannot be used.
             report(ticket, RunEvent.RUN_GIVEN_UP, 0);
             tickets.remove(ticket.id());
             ticket.listener().coordinatorUnavailable();
@@ -388,38 +391,38 @@
                         0));
     }
 
-    private void receiveRequest(String from, PlacementAsk ask, long nowMillis) {
-        coordinator.requestPlacement(PlacementMessages.placementRequest(from, ask, nowMillis), nowMillis);
+    private void receiveRequest(String from, PlacementAsk request, long nowMillis) {
+        coordinator.requestPlacement(PlacementMessages.placementRequest(from, request, nowMillis), nowMillis);
     }
 
-    /** Sends the own coordinator's decisions to those who asked. */
+    /** Sends the decisions of the local coordinator to the requesters. */
     private final class ReplySender implements DecisionListener {
         @Override
-        public void granted(PlacementRequest ask, Candidate candidate) {
-            sendReply(ask, PlacementMessages.granted(ask, candidate));
+        public void granted(PlacementRequest request, Candidate candidate) {
+            sendReply(request, PlacementMessages.granted(request, candidate));
         }
 
         @Override
-        public void queued(PlacementRequest ask) {
-            sendReply(ask, PlacementMessages.waiting(ask));
+        public void queued(PlacementRequest request) {
+            sendReply(request, PlacementMessages.queued(request));
         }
 
         @Override
-        public void shed(PlacementRequest ask, RejectionDetails grounds) {
-            sendReply(ask, PlacementMessages.refused(ask, PlacementOutcome.PLACEMENT_SHED, grounds));
+        public void shed(PlacementRequest request, RejectionDetails details) {
+            sendReply(request, PlacementMessages.rejected(request, PlacementOutcome.PLACEMENT_SHED, details));
         }
 
         @Override
-        public void overQuota(PlacementRequest ask, RejectionDetails grounds) {
-            sendReply(ask, PlacementMessages.refused(ask, PlacementOutcome.PLACEMENT_OVER_QUOTA, grounds));
+        public void overQuota(PlacementRequest request, RejectionDetails details) {
+            sendReply(request, PlacementMessages.rejected(request, PlacementOutcome.PLACEMENT_OVER_QUOTA, details));
         }
 
-        private void sendReply(PlacementRequest ask, PlacementReply reply) {
-            if (ask.requester().equals(settings.name())) {
+        private void sendReply(PlacementRequest request, PlacementReply reply) {
+            if (request.requester().equals(settings.name())) {
                 receiveReply(settings.name(), settings.ip(), reply);
                 return;
             }
-            datagrams.send(datagram().addReplies(reply).build(), requesterIps.get(ask.requester()));
+            datagrams.send(datagram().addReplies(reply).build(), requesterIps.get(request.requester()));
         }
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
@@ -40,35 +40,36 @@
 import org.whinwharf.wire.fleet.MemberPhase;
 import org.whinwharf.wire.fleet.MemberReport;
 
-/** One front process: it joins its parts and owns the thread on which all of them run. */
+/** One front process: creates its components, connects them, and owns the event loop on which all of them run. */
 public final class Front implements Service {
-    /** Advice to callers of a process that knows no catalog yet: it asks its peers several times within this. */
+    /** Retry-After delay while no catalog is known; the process asks its peers for one several times in this time. */
     static final long NOT_READY_RETRY_AFTER_MILLIS = 200;
-    /** Most bytes of an answer that is collected before it is passed on. */
+    /** Largest response, in bytes, that is collected in full before it is forwarded. */
     static final int MAX_ANSWER_BYTES = 4 * 1_024 * 1_024;
-    /** Time between rounds of news; a request holds a slot several times as long. */
+    /** Interval between gossip rounds; a request holds a slot for several times as long. */
     private static final long GOSSIP_INTERVAL_MILLIS = 150;
-    /** Time between looks at requests while some wait: an eighth of the shortest objective of a plain service. */
+    /** Interval between checks while requests are queued: an eighth of the shortest objective of a plain service. */
     private static final long TICK_INTERVAL_MILLIS = 20;
-    /** Time between looks while none waits; what runs is judged by times of half a second and more. */
+    /** Interval between checks while no request is queued; the timeouts of running requests are 500 ms and more. */
     private static final long IDLE_TICK_INTERVAL_MILLIS = 60;
-    /** Time between looks at idle connections, probes and silent peers. */
+    /** Interval between checks of idle connections, of ejected targets due for a probe and of silent peers. */
     private static final long SWEEP_INTERVAL_MILLIS = 250;
-    /** Time that callers may still come after a request to stop: what they were told before has then run out. */
+    /** Time for which new callers are accepted after a stop is requested, until earlier address lists have expired. */
     private static final long LATE_CALLER_MILLIS = 2_500;
     /**
-     * Part by which predictions are spread when this process places alone in a large fleet: more than engines of one
-     * generation differ, less than generations do.
+     * Relative jitter added to predictions when this process places requests locally in a large fleet: more than the
+     * difference between engines of one hardware generation, less than the difference between generations.
      */
     private static final double PREDICTION_JITTER = 0.5;
     /**
-     * Time from a start for which callers wait in the port's queue for the catalog. A caller gives an attempt up that
-     * is not read within a second; one that is told to come back keeps the rest of its time.
+     * Time after the start for which callers are left in the port's backlog until the catalog is known. A caller gives
+     * up an attempt that is not read within a second; a caller that receives a Retry-After delay keeps the rest of its
+     * time.
      */
     private static final long CATALOG_WAIT_LIMIT_MILLIS = 600;
-    /** Time from a start after which metrics are served; requests are served before them. */
+    /** Delay after the start until metrics are served, so that requests are served first. */
     private static final long METRICS_START_DELAY_MILLIS = 2_000;
-    /** Time before the end of the grace period at which the process ends in any case. */
+    /** Time before the end of the grace period at which the process stops even if requests are in flight. */
     private static final long STOP_MARGIN_MILLIS = 600;
 
     private FrontSettings settings;
@@ -104,11 +105,11 @@
     private Runnable onStopped = () -> {};
 
     /**
-     * Creates a process that is not started.
+     * Creates a front that is not started yet.
      *
-     * @param settings its settings
-     * @param dialect names that callers and targets use
-     * @param callerPort where callers connect
+     * @param settings settings of the process
+     * @param dialect header names and formats that callers and targets use
+     * @param callerPort open port to which callers connect
      */
     public Front(FrontSettings settings, HttpDialect dialect, CallerPort callerPort) {
         this.settings = settings;
@@ -139,7 +140,7 @@
     }
 
     /**
-     * Returns the thread on which everything of this process runs.
+     * Returns the event loop whose single thread runs all components of this process.
      *
      * @return event loop
      */
@@ -157,7 +158,7 @@
     }
 
     /**
-     * Returns the steady clock.
+     * Returns the monotonic clock.
      *
      * @return clock
      */
@@ -174,7 +175,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        scheduleRepeatedly("news for peers", GOSSIP_INTERVAL_MILLIS, this::gossipRound);
+        scheduleRepeatedly("gossip", GOSSIP_INTERVAL_MILLIS, this::gossipRound);
         loop.execute(this::tickAndScheduleNext);
         scheduleRepeatedly("upkeep", SWEEP_INTERVAL_MILLIS, this::sweep);
         loop.schedule(
@@ -215,13 +216,13 @@
                 });
     }
 
-    private void scheduleRepeatedly(String name, long millis, Runnable duty) {
-        loop.scheduleWithFixedDelay(() -> runLogged(name, duty), millis, millis, TimeUnit.MILLISECONDS);
+    private void scheduleRepeatedly(String name, long millis, Runnable task) {
+        loop.scheduleWithFixedDelay(() -> runLogged(name, task), millis, millis, TimeUnit.MILLISECONDS);
     }
 
-    private static void runLogged(String name, Runnable duty) {
+    private static void runLogged(String name, Runnable task) {
         try {
-            duty.run();
+            task.run();
         } catch (RuntimeException e) {
             FrontLog.taskFailed(name, e);
         }
@@ -229,12 +230,12 @@
 
     private void tickAndScheduleNext() {
         runLogged("requests", this::tick);
-        boolean someWait = coordination.hasPendingRequests() || localQueues.size() > 0;
-        long pauseMillis = someWait ? TICK_INTERVAL_MILLIS : IDLE_TICK_INTERVAL_MILLIS;
+        boolean queued = coordination.hasPendingRequests() || localQueues.size() > 0;
+        long pauseMillis = queued ? TICK_INTERVAL_MILLIS : IDLE_TICK_INTERVAL_MILLIS;
         loop.schedule(this::tickAndScheduleNext, pauseMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Begins a planned stop: takes no part in news of serving processes and ends once nothing is under way. */
+    /** Begins a planned stop: reports this process as leaving and stops it once no request is in flight. */
     @Override
     public void stop() {
         loop.execute(() -> {
@@ -249,54 +250,54 @@
     }
 
     /**
-     * Sets what is run when a planned stop is done.
+     * Sets the action to run when a planned stop is complete.
      *
-     * @param action run on the front's thread
+     * @param action action, run on the event loop
      */
     public void onStopped(Runnable action) {
         onStopped = action;
     }
 
     /**
-     * Takes changed settings; addresses and names stay as they were at the start.
+     * Applies changed settings, except for addresses and names, which are read only at the start.
      *
-     * @param changed the settings
+     * @param changed new settings
      */
     public void reload(FrontSettings changed) {
-        boolean otherBudget = changed.retryRatio() != settings.retryRatio()
+        boolean budgetChanged = changed.retryRatio() != settings.retryRatio()
                 || changed.retryWindowMillis() != settings.retryWindowMillis();
         settings = changed;
-        if (otherBudget) {
+        if (budgetChanged) {
             retryBudgets.clear();
         }
         EventLog.event(LogEvent.SETTINGS_IN_FORCE).call();
     }
 
     /**
-     * Tells whether callers should be sent here.
+     * Tells whether callers should be sent to this process.
      *
-     * @return true when it serves
+     * @return true when it is serving
      */
     public boolean ready() {
         return phase == MemberPhase.MEMBER_SERVING;
     }
 
     /**
-     * Returns addresses that callers may connect to, this process's first.
+     * Returns addresses that callers may connect to, starting with the address of this process.
      *
-     * @param most how many callers take at most; in a larger fleet they are drawn
-     * @return IP numbers and ports
+     * @param limit maximum number of addresses; in a larger fleet they are chosen at random
+     * @return IP addresses and ports
      */
-    public List<String> callerAddresses(int most) {
-        return members.sampleServing(ticker.nowMillis(), most, random).stream()
+    public List<String> callerAddresses(int limit) {
+        return members.sampleServing(ticker.nowMillis(), limit, random).stream()
                 .map(MemberReport::getCallerAddress)
                 .toList();
     }
 
     /**
-     * Takes a new catalog; an older version than the one in force changes nothing.
+     * Applies a published catalog, unless its version is not newer than the current one.
      *
-     * @param published the catalog
+     * @param published catalog
      */
     public void publish(Catalog published) {
         if (catalog.isPresent() && published.version() <= catalog.get().version()) {
@@ -312,29 +313,29 @@
     }
 
     /**
-     * Takes a published target.
+     * Adds or updates a published target.
      *
-     * @param target the target
-     * @param duringService false while the first copy is read
+     * @param target published target
+     * @param afterInitialCopy false while the first copy of the published items is read
      */
-    public void publish(Target target, boolean duringService) {
-        targets.publish(target, duringService);
+    public void publish(Target target, boolean afterInitialCopy) {
+        targets.publish(target, afterInitialCopy);
     }
 
     /**
-     * Takes the removal of a target.
+     * Removes a target whose published entry was deleted.
      *
      * @param targetId id of the target
-     * @param goneAtMillis steady time from which it counts as gone
+     * @param goneAtMillis monotonic time in milliseconds from which the target counts as gone
      */
     public void removeTarget(String targetId, long goneAtMillis) {
         targets.remove(targetId, goneAtMillis);
     }
 
     /**
-     * Takes the data centres that must get nothing new.
+     * Sets the evacuated data centres, whose targets receive no new requests.
      *
-     * @param dataCentres names
+     * @param dataCentres names of all evacuated data centres
      */
     public void evacuate(Set<String> dataCentres) {
         EventLog.event(LogEvent.DATA_CENTRES_OUT)
@@ -344,10 +345,10 @@
         targets.evacuate(dataCentres);
     }
 
-    /** Accepts callers once the catalog is known, or after a while to tell them to come back. */
+    /** Accepts callers once the catalog is known, or after a time limit to answer them with a Retry-After delay. */
     private void acceptOnceReady() {
-        boolean heldForLong = ticker.nowMillis() - startedAtMillis > CATALOG_WAIT_LIMIT_MILLIS;
-        if (!acceptStarted && phase == MemberPhase.MEMBER_STARTING && (catalog.isPresent() || heldForLong)) {
+        boolean waitedTooLong = ticker.nowMillis() - startedAtMillis > CATALOG_WAIT_LIMIT_MILLIS;
+        if (!acceptStarted && phase == MemberPhase.MEMBER_STARTING && (catalog.isPresent() || waitedTooLong)) {
             acceptStarted = true;
             callers.start(() -> {
                 acceptingCallers = true;
@@ -416,18 +417,20 @@
     }
 
     /**
-     * Where a coordinator shares out what cold targets bear, a process that chooses alone sends them nothing: two
-     * coordinators for a moment use up the whole already.
+     * Returns the number of requests that local placement may send to a cold target. In a coordinated service this is
+     * zero: for a short time two processes may both coordinate it, and together they use the whole capacity of a cold
+     * target.
      */
     private int localColdAllowance(Target target) {
         return isCoordinated(target.service()) ? 0 : coldShares.allowance(target);
     }
 
     private Coordinator createCoordinator(DecisionListener decisions) {
-        TargetSelector common = new TargetSelector(prompts, this::coordinatorColdAllowance, () -> 0, settings.policy());
+        TargetSelector selector =
+                new TargetSelector(prompts, this::coordinatorColdAllowance, () -> 0, settings.policy());
         return new Coordinator(ImmutableCoordinatorDependencies.builder()
                 .localName(settings.name())
-                .targetSelector(common)
+                .targetSelector(selector)
                 .promptCache(prompts)
                 .targets(targets::ofService)
                 .evacuatedDataCentres(targets::evacuated)
@@ -440,7 +443,7 @@
                 .build());
     }
 
-    /** Half of what a cold target bears: for a moment two processes may each take themselves for the coordinator. */
+    /** Returns half of the capacity of a cold target, since for a short time two processes may both coordinate. */
     private int coordinatorColdAllowance(Target target) {
         return (int) Math.max(1, coldRate(target) / 2);
     }
@@ -500,7 +503,7 @@
                 service, name -> new RetryBudget(settings.retryRatio(), settings.retryWindowMillis()));
     }
 
-    /** Returns this process's part of the fixed allowance of repeats. */
+    /** Returns this process's share of the fleet's fixed retry allowance. */
     double retryAllowance() {
         return settings.retryAllowance() / (members.all().size() + 2.0);
     }
@@ -513,7 +516,7 @@
         return placement.select(demand, targets.ofService(demand.service()), targets.evacuated(), nowMillis);
     }
 
-    /** Tells whether a target that was chosen a moment ago may still get a request. */
+    /** Tells whether a target that was just selected may still receive a request. */
     boolean mayReceive(TargetEntry entry) {
         return targets.mayReceive(entry);
     }
@@ -522,7 +525,7 @@
         return targets.entry(targetId);
     }
 
-    /** Tells whether another target of the service could take a request. */
+    /** Tells whether a service has a usable target that is not in the given set. */
     boolean hasUntriedTarget(String service, Set<String> tried) {
         long nowMillis = ticker.nowMillis();
         return targets.ofService(service).stream()
@@ -547,11 +550,11 @@
     }
 
     void targetFailed(TargetEntry entry, TargetFailure failure) {
-        targets.failed(entry, failure);
+        targets.recordFailure(entry, failure);
     }
 
     void targetAnsweredError(TargetEntry entry) {
-        targets.erred(entry);
+        targets.recordError(entry);
     }
 
     void targetAnswered(TargetEntry entry) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
@@ -9,7 +9,7 @@
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.traffic.target.Target;
 
-/** Writes the log lines about requests and targets. */
+/** Writes log events about requests, targets, coordinators and peers. */
 final class FrontLog {
     private FrontLog() {}
 
@@ -46,7 +46,7 @@
         endLine(exchange, entry, reason, status, totalMillis).call();
     }
 
-    /** Tells that a caller left; the kind of the line is why its connection closed. */
+    /** Logs that a caller disconnected; the event's kind is the cause of the close. */
     static void callerLeft(CallerExchange exchange, TargetEntry entry, String closeCause, long totalMillis) {
         endLine(exchange, entry, "caller-left", 0, totalMillis)
                 .with(EventField.KIND, closeCause)
@@ -55,49 +55,49 @@
 
     private static EventLog endLine(
             CallerExchange exchange, TargetEntry entry, String reason, int status, long totalMillis) {
-        EventLog line = EventLog.event(LogEvent.REQUEST_ENDED)
+        EventLog event = EventLog.event(LogEvent.REQUEST_ENDED)
                 .with(EventField.REQUEST, exchange.head().attemptId())
                 .with(EventField.REASON, reason)
                 .with(EventField.STATUS, status)
                 .with(EventField.TOTAL_MILLIS, totalMillis);
         if (entry != null) {
-            line.with(EventField.TARGET, entry.state().target().id());
+            event.with(EventField.TARGET, entry.state().target().id());
         }
-        exchange.firstByteMillis().ifPresent(millis -> line.with(EventField.FIRST_BYTE_MILLIS, millis));
-        return line;
+        exchange.firstByteMillis().ifPresent(millis -> event.with(EventField.FIRST_BYTE_MILLIS, millis));
+        return event;
     }
 
-    static void refused(CallerExchange exchange, ErrorResponse refusal) {
-        EventLog line = EventLog.event(LogEvent.REQUEST_REFUSED)
+    static void refused(CallerExchange exchange, ErrorResponse response) {
+        EventLog event = EventLog.event(LogEvent.REQUEST_REFUSED)
                 .with(EventField.SERVICE, exchange.service())
                 .with(EventField.TIER_RANK, exchange.tierRank())
-                .with(EventField.KIND, refusal.kind().wireName())
-                .with(EventField.RAN, refusal.kind().ran().wireName())
+                .with(EventField.KIND, response.kind().wireName())
+                .with(EventField.RAN, response.kind().ran().wireName())
                 .with(EventField.WAITED_MILLIS, exchange.ageMillis())
-                .with(EventField.COME_BACK_MILLIS, refusal.retryAfterMillis())
+                .with(EventField.COME_BACK_MILLIS, response.retryAfterMillis())
                 .with(EventField.VERSION, exchange.catalogFreshness().catalogVersion())
                 .with(EventField.AGE_MILLIS, exchange.catalogFreshness().itemsAgeMillis());
         if (exchange.head() != null) {
-            line.with(EventField.REQUEST, exchange.head().attemptId());
+            event.with(EventField.REQUEST, exchange.head().attemptId());
         }
-        exchange.organisation().map(Organisation::name).ifPresent(name -> line.with(EventField.ORGANISATION, name));
-        if (refusal.kind() == ErrorKind.OVER_QUOTA) {
-            line.with(EventField.QUOTA_TOKENS, exchange.quotaTokens());
+        exchange.organisation().map(Organisation::name).ifPresent(name -> event.with(EventField.ORGANISATION, name));
+        if (response.kind() == ErrorKind.OVER_QUOTA) {
+            event.with(EventField.QUOTA_TOKENS, exchange.quotaTokens());
         }
-        refusal.grounds().ifPresent(grounds -> addGrounds(line, exchange, grounds));
-        line.call();
+        response.grounds().ifPresent(details -> addRejectionDetails(event, exchange, details));
+        event.call();
     }
 
-    /** Adds what the coordinator knew when it decided; its news of the line is its own and has no age. */
-    private static void addGrounds(EventLog line, CallerExchange exchange, RejectionDetails grounds) {
-        line.with(EventField.PEER, exchange.coordinatorName());
-        if (grounds.quotaLevelTokens() != 0) {
-            line.with(EventField.QUOTA_LEVEL, grounds.quotaLevelTokens());
+    /** Adds the coordinator's reasons for its decision; they concern its own queue, so no age is logged with them. */
+    private static void addRejectionDetails(EventLog event, CallerExchange exchange, RejectionDetails details) {
+        event.with(EventField.PEER, exchange.coordinatorName());
+        if (details.quotaLevelTokens() != 0) {
+            event.with(EventField.QUOTA_LEVEL, details.quotaLevelTokens());
             return;
         }
-        line.with(EventField.AHEAD, grounds.queuedAhead())
-                .with(EventField.PREDICTED_MILLIS, grounds.estimatedWaitMillis())
-                .with(EventField.STANDING_MILLIS, grounds.backlogAgeMillis());
+        event.with(EventField.AHEAD, details.queuedAhead())
+                .with(EventField.PREDICTED_MILLIS, details.estimatedWaitMillis())
+                .with(EventField.STANDING_MILLIS, details.backlogAgeMillis());
     }
 
     static void retried(CallerExchange exchange, Target target, String reason) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontMetrics.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontMetrics.java
@@ -15,7 +15,7 @@
 
 /** Counters, gauges and latency histograms of one front process. */
 final class FrontMetrics {
-    /** Bounds of the histograms in milliseconds: the objectives in use lie between 100 and 800. */
+    /** Bucket bounds of the histograms in milliseconds; latency objectives are between 100 and 800 ms. */
     private static final long[] BUCKET_BOUNDS_MILLIS = {10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 10_000};
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
@@ -38,7 +38,7 @@
             .baseUnit("bytes")
             .register(registry);
 
-    /** Registers a value that is read when metrics are asked for. */
+    /** Registers a gauge whose value is read at each scrape. */
     void gauge(String name, String description, Supplier<Number> value) {
         Gauge.builder(name, value).description(description).register(registry);
     }
@@ -55,7 +55,7 @@
         ejections.increment();
     }
 
-    /** Counts a request that ended with a failure of this process. */
+    /** Counts a request that ended with an error from this process rather than a target's response. */
     void failed(ErrorKind kind) {
         failures.computeIfAbsent(
                         kind,
@@ -67,7 +67,7 @@
                 .increment();
     }
 
-    /** Counts a stream that ended without its last event. */
+    /** Counts a stream that ended before its last event. */
     void streamTruncated(TruncationCause cause) {
         truncations
                 .computeIfAbsent(
@@ -80,7 +80,7 @@
                 .increment();
     }
 
-    /** Counts a question for published items to a peer. */
+    /** Counts a request to a peer for published items. */
     void itemsRequested(ItemsRequestOutcome outcome) {
         itemsRequests
                 .computeIfAbsent(
@@ -93,7 +93,7 @@
                 .increment();
     }
 
-    /** Counts bytes of an answer to such a question. */
+    /** Counts bytes received in a peer's answer with published items. */
     void itemsReceived(long bytes) {
         receivedItemBytes.increment(bytes);
     }
@@ -102,19 +102,19 @@
         return Counter.builder(name).description(description).tag(tag, value).register(registry);
     }
 
-    /** Takes the time from sending a request to the first byte of its answer. */
+    /** Records the time from sending a request to the first byte of its response. */
     void recordFirstByte(RouteKind kind, long millis) {
         timer(firstBytes, kind, "whinwharf.first.byte", "Time from sending to the first byte")
                 .record(Duration.ofMillis(millis));
     }
 
-    /** Takes the time that a request waited here before it was sent. */
+    /** Records the time for which a request was queued here before it was sent. */
     void recordQueueTime(RouteKind kind, long millis) {
         timer(queueTimes, kind, "whinwharf.waiting", "Time a request waited here")
                 .record(Duration.ofMillis(millis));
     }
 
-    /** Returns all values in Prometheus's text format. */
+    /** Returns all metrics in the Prometheus text format. */
     String scrape() {
         return registry.scrape();
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontSettings.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontSettings.java
@@ -15,7 +15,7 @@
     String name();
 
     /**
-     * Returns the IP number of the host.
+     * Returns the IP address of the host.
      *
      * @return IPv4 address
      */
@@ -31,19 +31,19 @@
     /**
      * Returns the address that callers connect to.
      *
-     * @return IP number and port, joined by a colon
+     * @return IP address and port, joined by a colon
      */
     String callerAddress();
 
     /**
-     * Returns the port for traffic between front processes, the same on all hosts.
+     * Returns the port for traffic between fronts, the same on all hosts.
      *
      * @return UDP and TCP port
      */
     int peerPort();
 
     /**
-     * Returns the IP numbers of hosts to ask for the others.
+     * Returns the IP addresses of the hosts that a starting front contacts to discover its peers.
      *
      * @return IPv4 addresses; some may be stale
      */
@@ -52,21 +52,21 @@
     /**
      * Tells whether the whole fleet starts for the first time.
      *
-     * @return true when no earlier process can have admitted anything
+     * @return true when no earlier process can have admitted requests
      */
     boolean freshFleet();
 
     /**
-     * Returns the repeats for each request that the whole fleet may send.
+     * Returns the number of retries that the whole fleet may send for each request.
      *
-     * @return ratio
+     * @return ratio of retries to requests
      */
     double retryRatio();
 
     /**
-     * Returns the repeats that the whole fleet may send in any case.
+     * Returns the number of retries that the whole fleet may send regardless of the number of requests.
      *
-     * @return repeats in one window
+     * @return retries in one window
      */
     double retryAllowance();
 
@@ -78,14 +78,14 @@
     long retryWindowMillis();
 
     /**
-     * Returns the time between a request to stop and the end of the process.
+     * Returns the grace period from a stop request to the end of the process.
      *
      * @return time in milliseconds
      */
     long stopGraceMillis();
 
     /**
-     * Returns the port that serves metrics.
+     * Returns the port on which metrics are served.
      *
      * @return TCP port; 0 for none
      */
@@ -94,7 +94,7 @@
     /**
      * Returns the processor time that this process may use.
      *
-     * @return hundredths of a core; 0 when it is not known
+     * @return processor time in hundredths of a core; 0 when unknown
      */
     @Value.Default
     default int processorPercent() {
@@ -102,9 +102,9 @@
     }
 
     /**
-     * Returns which parts of the policy are in use.
+     * Returns the scheduling policy, with the mechanisms that are enabled.
      *
-     * @return the whole policy unless something is switched off
+     * @return the whole policy unless a mechanism is disabled
      */
     @Value.Default
     default Policy policy() {
@@ -112,7 +112,8 @@
     }
 
     /**
-     * Returns after which silence a coordinator is passed over: three asks of 40 ms, of which two may be lost.
+     * Returns the time without a reply after which a coordinator is skipped: three placement requests at intervals of
+     * 40 ms, of which two may be lost.
      *
      * @return time in milliseconds
      */
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/LocalQueues.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/LocalQueues.java
@@ -11,9 +11,9 @@
 import org.whinwharf.traffic.waiting.QueueTimeouts;
 import org.whinwharf.traffic.waiting.RequestQueue;
 
-/** Requests that wait in this process, one line for each service; those that a coordinator places wait there. */
+/** Queues of requests that this process places itself, one queue per service; coordinated requests queue elsewhere. */
 final class LocalQueues {
-    /** Requests of one service that may wait here; at the size in use more would outwait their patience. */
+    /** Maximum queue length of one service; in fleets of the size in use, longer queues would exceed queue timeouts. */
     private static final int MAX_QUEUED = 256;
 
     private final EventLoopGroup loop;
@@ -34,17 +34,17 @@
         return queues.computeIfAbsent(service, name -> new RequestQueue(MAX_QUEUED, policy));
     }
 
-    /** Returns how many requests wait. */
+    /** Returns the total number of queued requests. */
     int size() {
         return queues.values().stream().mapToInt(RequestQueue::size).sum();
     }
 
-    /** Sends and refuses what waits. */
+    /** Dispatches or rejects queued requests. */
     void advance(long nowMillis) {
-        queues.values().forEach(line -> line.advance(nowMillis));
+        queues.values().forEach(queue -> queue.advance(nowMillis));
     }
 
-    /** Tries waiting requests after a place was freed, once the present event is done with. */
+    /** Tries to dispatch the queued requests of a service with a freed slot, once the current event is handled. */
     void slotFreed(String service) {
         if (queueOf(service).size() > 0 && scheduledServices.add(service)) {
             loop.execute(() -> {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Returns when a refused caller should come back. */
+    /** Returns the Retry-After delay in milliseconds for a rejected request of a service. */
     long retryAfterMillis(String service) {
         return QueueTimeouts.retryAfterMillis(
                 queueOf(service).backlogAgeMillis(ticker.nowMillis()), random.getAsDouble());
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementListener.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementListener.java
@@ -4,23 +4,23 @@
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.wire.fleet.PlacementAsk;
 
-/** A request that asked a coordinator for a target. */
+/** Receives the outcome of a request's placement by a coordinator. */
 interface PlacementListener {
-    /** Returns the ask as it stands now: its times run from the moment it is sent. */
+    /** Returns the current placement request; its times are relative to the moment at which it is sent. */
     PlacementAsk placementRequest(long id);
 
-    /** Takes the ticket under which it is asked, before anything else. */
+    /** Receives the ticket of the placement, before any other call. */
     void ticketIssued(PlacementTicket ticket);
 
-    /** Takes a target; the request may be sent there now. */
+    /** Receives the granted target, to which the request may now be sent. */
     void granted(Candidate candidate);
 
-    /** Takes that no target was found in time. */
-    void shed(RejectionDetails grounds);
+    /** Called when the coordinator sheds the request, since no target was found in time. */
+    void shed(RejectionDetails details);
 
-    /** Takes that the organisation's quota is used up. */
-    void overQuota(RejectionDetails grounds);
+    /** Called when the request exceeds its organisation's quota. */
+    void overQuota(RejectionDetails details);
 
-    /** Takes that no coordinator answers: this process has to choose on its own. */
+    /** Called when no coordinator replies, or its grant cannot be used: this process must place the request itself. */
     void coordinatorUnavailable();
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementMessages.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementMessages.java
@@ -13,19 +13,19 @@
 import org.whinwharf.wire.fleet.PlacementPart;
 import org.whinwharf.wire.fleet.PlacementReply;
 
-/** Turns asks and decisions into messages and back. */
+/** Converts placement requests and decisions to and from the messages between fronts. */
 final class PlacementMessages {
     private PlacementMessages() {}
 
-    /** Makes the message that asks for a target; its times run from now. */
+    /** Returns the message that requests a target; its times are relative to now. */
     static PlacementAsk placementRequest(
             long id,
             Demand demand,
-            long patienceMillis,
+            long queueTimeoutMillis,
             long onTimeMillis,
             Optional<String> organisation,
             long quotaTokens) {
-        PlacementAsk.Builder ask = PlacementAsk.newBuilder()
+        PlacementAsk.Builder request = PlacementAsk.newBuilder()
                 .setId(id)
                 .setService(demand.service())
                 .setModel(demand.model())
@@ -33,43 +33,43 @@
                 .setAnswerTokens((int) demand.maxAnswerTokens())
                 .setTierRank(demand.tierRank())
                 .setRemainingMillis((int) Math.max(0, demand.remainingMillis()))
-                .setPatienceMillis((int) Math.max(0, patienceMillis))
+                .setPatienceMillis((int) Math.max(0, queueTimeoutMillis))
                 .setOnTimeMillis((int) Math.max(0, onTimeMillis))
                 .addAllTriedTargets(demand.triedTargets())
                 .setDataCentre(demand.dataCentre());
-        organisation.ifPresent(name -> ask.setOrganisation(name).setQuotaTokens(quotaTokens));
+        organisation.ifPresent(name -> request.setOrganisation(name).setQuotaTokens(quotaTokens));
         demand.promptParts()
-                .forEach(part ->
-                        ask.addParts(PlacementPart.newBuilder().setId(part.id()).setTokens((int) part.tokens())));
-        return ask.build();
+                .forEach(part -> request.addParts(
+                        PlacementPart.newBuilder().setId(part.id()).setTokens((int) part.tokens())));
+        return request.build();
     }
 
-    static PlacementRequest placementRequest(String from, PlacementAsk ask, long nowMillis) {
+    static PlacementRequest placementRequest(String from, PlacementAsk request, long nowMillis) {
         ImmutableDemand.Builder demand = ImmutableDemand.builder()
-                .service(ask.getService())
-                .model(ask.getModel())
-                .promptTokens(ask.getPromptTokens())
-                .maxAnswerTokens(ask.getAnswerTokens())
-                .tierRank(ask.getTierRank())
-                .remainingMillis(ask.getRemainingMillis())
-                .dataCentre(ask.getDataCentre())
-                .triedTargets(ask.getTriedTargetsList());
-        ask.getPartsList().forEach(part -> demand.addPromptParts(new PromptPart(part.getId(), part.getTokens())));
+                .service(request.getService())
+                .model(request.getModel())
+                .promptTokens(request.getPromptTokens())
+                .maxAnswerTokens(request.getAnswerTokens())
+                .tierRank(request.getTierRank())
+                .remainingMillis(request.getRemainingMillis())
+                .dataCentre(request.getDataCentre())
+                .triedTargets(request.getTriedTargetsList());
+        request.getPartsList().forEach(part -> demand.addPromptParts(new PromptPart(part.getId(), part.getTokens())));
         return ImmutablePlacementRequest.builder()
                 .requester(from)
-                .id(ask.getId())
+                .id(request.getId())
                 .demand(demand.build())
-                .deadlineAtMillis(nowMillis + ask.getRemainingMillis())
-                .queueTimeoutAtMillis(nowMillis + ask.getPatienceMillis())
-                .onTimeUntilMillis(nowMillis + ask.getOnTimeMillis())
-                .organisation(Optional.of(ask.getOrganisation()).filter(name -> !name.isEmpty()))
-                .quotaTokens(ask.getQuotaTokens())
+                .deadlineAtMillis(nowMillis + request.getRemainingMillis())
+                .queueTimeoutAtMillis(nowMillis + request.getPatienceMillis())
+                .onTimeUntilMillis(nowMillis + request.getOnTimeMillis())
+                .organisation(Optional.of(request.getOrganisation()).filter(name -> !name.isEmpty()))
+                .quotaTokens(request.getQuotaTokens())
                 .build();
     }
 
-    static PlacementReply granted(PlacementRequest ask, Candidate candidate) {
+    static PlacementReply granted(PlacementRequest request, Candidate candidate) {
         return PlacementReply.newBuilder()
-                .setId(ask.id())
+                .setId(request.id())
                 .setOutcome(PlacementOutcome.PLACEMENT_GRANTED)
                 .setTarget(candidate.state().target().id())
                 .setUncachedTokens((int) candidate.uncachedTokens())
@@ -80,26 +80,26 @@
                 .build();
     }
 
-    static PlacementReply waiting(PlacementRequest ask) {
+    static PlacementReply queued(PlacementRequest request) {
         return PlacementReply.newBuilder()
-                .setId(ask.id())
+                .setId(request.id())
                 .setOutcome(PlacementOutcome.PLACEMENT_WAITING)
                 .build();
     }
 
-    static PlacementReply refused(PlacementRequest ask, PlacementOutcome outcome, RejectionDetails grounds) {
+    static PlacementReply rejected(PlacementRequest request, PlacementOutcome outcome, RejectionDetails details) {
         return PlacementReply.newBuilder()
-                .setId(ask.id())
+                .setId(request.id())
                 .setOutcome(outcome)
-                .setComeBackMillis((int) grounds.retryAfterMillis())
-                .setAhead(grounds.queuedAhead())
-                .setPredictedWaitMillis((int) grounds.estimatedWaitMillis())
-                .setStandingMillis((int) grounds.backlogAgeMillis())
-                .setQuotaLevelTokens(grounds.quotaLevelTokens())
+                .setComeBackMillis((int) details.retryAfterMillis())
+                .setAhead(details.queuedAhead())
+                .setPredictedWaitMillis((int) details.estimatedWaitMillis())
+                .setStandingMillis((int) details.backlogAgeMillis())
+                .setQuotaLevelTokens(details.quotaLevelTokens())
                 .build();
     }
 
-    static RejectionDetails grounds(PlacementReply reply) {
+    static RejectionDetails rejectionDetails(PlacementReply reply) {
         return new RejectionDetails(
                 reply.getComeBackMillis(),
                 reply.getAhead(),
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementTicket.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PlacementTicket.java
@@ -4,14 +4,14 @@
 import org.whinwharf.wire.fleet.RunEvent;
 import org.whinwharf.wire.fleet.RunUnderWay;
 
-/** What is known of one request's placement: who was asked for a target, and what it has there. */
+/** Tracks the placement of one request: the coordinator that was asked for a target, and the target it has. */
 final class PlacementTicket {
     private enum Stage {
-        /** Nobody answered yet. */
+        /** No coordinator has replied yet. */
         REQUESTED,
-        /** The coordinator has it in its line. */
+        /** The request is queued at the coordinator. */
         QUEUED,
-        /** It has a target, by a grant or by this process's own choice. */
+        /** The request has a target, granted by a coordinator or selected locally. */
         PLACED,
         ENDED
     }
@@ -64,12 +64,12 @@
         return requestedAtMillis;
     }
 
-    /** Tells whether it needs no target any more, or has one. */
+    /** Tells whether the request has a target or no longer needs one. */
     boolean settled() {
         return stage == Stage.PLACED || stage == Stage.ENDED;
     }
 
-    /** Tells whether the coordinator said that the request waits there. */
+    /** Tells whether the coordinator replied that the request is queued. */
     boolean isQueued() {
         return stage == Stage.QUEUED;
     }
@@ -78,7 +78,7 @@
         return stage == Stage.PLACED && targetId.equals(target);
     }
 
-    /** Notes whom it is put to. */
+    /** Records that the placement request was sent to a coordinator. */
     void requestedFrom(String name, String ip, long nowMillis) {
         stage = Stage.REQUESTED;
         coordinatorName = name;
@@ -88,21 +88,21 @@
         coordinatorsTried++;
     }
 
-    /** Notes that the coordinator was asked whether the request still waits there. */
+    /** Records that the placement request of a queued request was repeated, to check that it is still queued. */
     void refreshed(long nowMillis) {
         stage = Stage.REQUESTED;
         requestedAtMillis = nowMillis;
         sentAtMillis = nowMillis;
     }
 
-    /** Notes that the coordinator answered that the request waits. */
+    /** Records that the coordinator replied that the request is queued. */
     void queued(long nowMillis) {
         stage = Stage.QUEUED;
         requestedAtMillis = nowMillis;
         sentAtMillis = nowMillis;
     }
 
-    /** Notes that it was put to the same coordinator again. */
+    /** Records that the placement request was resent to the same coordinator. */
     void resent(long nowMillis) {
         sentAtMillis = nowMillis;
     }
@@ -111,14 +111,14 @@
         return sentAtMillis;
     }
 
-    /** Notes that the request has a target. */
-    void placed(String target, long tokensToRead) {
+    /** Records the target of the request. */
+    void placed(String target, long tokensToPrefill) {
         stage = Stage.PLACED;
         targetId = target;
-        prefillTokens = tokensToRead;
+        prefillTokens = tokensToPrefill;
     }
 
-    /** Adds what is under way to a list. */
+    /** Adds this request to a list of running requests, if it has a target. */
     void addRunTo(List<RunUnderWay> runs) {
         if (stage == Stage.PLACED) {
             runs.add(RunUnderWay.newBuilder()
@@ -129,22 +129,22 @@
         }
     }
 
-    /** Notes that the coordinator has done with it. */
-    void refused() {
+    /** Records that the coordinator rejected the request. */
+    void rejected() {
         stage = Stage.ENDED;
         coordination.forget(this);
     }
 
-    /** Tells the coordinator how long the first event took. */
-    void firstEvent(long tookMillis) {
+    /** Reports to the coordinator how long the first event took. */
+    void firstEvent(long elapsedMillis) {
         prefillTokens = 0;
-        coordination.report(this, RunEvent.RUN_FIRST_EVENT, tookMillis);
+        coordination.report(this, RunEvent.RUN_FIRST_EVENT, elapsedMillis);
     }
 
     /**
-     * Tells the coordinator that nothing has come from the target for long.
+     * Reports to the coordinator that the target has sent nothing for too long.
      *
-     * @return false when there is no coordinator that could judge it
+     * @return false when there is no coordinator to assess the target
      */
     boolean stalled() {
         if (coordinatorName.isEmpty()) {
@@ -154,11 +154,11 @@
         return true;
     }
 
-    /** Tells the coordinator that the request waits or runs no more. */
-    void ended(RunEvent event, long tookMillis) {
+    /** Reports to the coordinator that the request is no longer queued or running. */
+    void ended(RunEvent event, long elapsedMillis) {
         if (stage != Stage.ENDED) {
             stage = Stage.ENDED;
-            coordination.report(this, event, tookMillis);
+            coordination.report(this, event, elapsedMillis);
             coordination.forget(this);
         }
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PublisherAvailability.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PublisherAvailability.java
@@ -3,42 +3,43 @@
 import org.whinwharf.wire.fleet.ItemsAnswer;
 
 /**
- * For how long the publishing service has been readable, as this process and its peers saw it.
+ * Tracks how long the publishing service has been readable, as observed by this process and its peers.
  *
- * <p>Entries lapse while the service is away and come back after its return. What was removed long after that did not
- * lapse: a process that had been cut off took each removal for a lapse, and sent requests to a target that had left for
- * two seconds more. One that hears from peers goes by what they saw, since it may be cut off alone.
+ * <p>Entries expire during an outage of the service and are published again after its recovery. An entry that is
+ * removed long after a recovery has not expired: a process that had been partitioned took every removal for an expiry,
+ * and sent requests to a departed target for two seconds longer. A process that receives items from peers relies on
+ * their observations, since it may be the only one that is partitioned.
  */
 final class PublisherAvailability {
-    /** Time after an outage in which removals may be those of entries that will come back. */
+    /** Time after an outage during which removed entries may have expired and may be published again. */
     private static final long EXPIRED_ENTRIES_RETURN_MILLIS = 3_000;
 
     private long failedAtMillis = Long.MIN_VALUE / 2;
     private long recoveredAtMillis = Long.MIN_VALUE / 2;
     private boolean readable;
-    /** True once a peer said whether the service could be read; those of earlier releases do not. */
+    /** True once a peer reported whether the service is readable; peers of earlier releases do not report it. */
     private boolean peerReported;
-    /** Whether it could, by the last answer. */
+    /** Whether the service is readable according to a peer's last answer. */
     private boolean readableByPeer;
-    /** Steady time since which it could. */
+    /** Monotonic time in milliseconds since which the service is readable according to that answer. */
     private long readableByPeerSinceMillis;
 
     /**
-     * Takes that this process could not read the service.
+     * Records that this process failed to read the service.
      *
-     * @return true when it could before
+     * @return true when its previous read succeeded
      */
     boolean readFailed(long nowMillis) {
         failedAtMillis = nowMillis;
-        boolean readBefore = readable;
+        boolean wasReadable = readable;
         readable = false;
-        return readBefore;
+        return wasReadable;
     }
 
     /**
-     * Takes that this process read the service.
+     * Records that this process read the service.
      *
-     * @return true when it could not before
+     * @return true when its previous read failed or there was none
      */
     boolean readSucceeded(long nowMillis) {
         if (readable) {
@@ -49,7 +50,7 @@
         return true;
     }
 
-    /** Takes what a peer said with its items. */
+    /** Records the availability that a peer reports in an answer with items. */
     void peerReported(ItemsAnswer answer, long nowMillis) {
         if (answer.hasReadableMillis()) {
             peerReported = true;
@@ -58,17 +59,18 @@
         }
     }
 
-    /** Tells whether this process could read the service when it last tried. */
+    /** Tells whether this process's last read of the service succeeded. */
     boolean readable() {
         return readable;
     }
 
     /**
-     * Returns for how long the service has been readable.
+     * Returns how long the service has been readable.
      *
-     * @param nowMillis steady time in milliseconds
-     * @param watching true while this process sees the service itself
-     * @return milliseconds; 0 while it is not, {@link Long#MAX_VALUE} when it always was, or that is long ago
+     * @param nowMillis monotonic time in milliseconds
+     * @param watching true while this process itself watches the service
+     * @return time in milliseconds; 0 while the service is not readable, {@link Long#MAX_VALUE} when there was no
+     *     outage or it ended long ago
      */
     long readableForMillis(long nowMillis, boolean watching) {
         if (peerReported && !watching) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/SilenceWatch.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/SilenceWatch.java
@@ -1,14 +1,14 @@
 package org.whinwharf.front;
 
-/** Notices that a target which got a request says nothing. */
+/** Detects that a target sends no bytes, or no further bytes, of the response to a request. */
 final class SilenceWatch {
-    /** Silence before a first byte after which a repeatable request goes elsewhere, in objectives. */
+    /** Time to the first byte after which an idempotent request is retried at another target, in latency objectives. */
     private static final int SILENCE_OBJECTIVE_FACTOR = 4;
-    /** The same in predicted times to the first event, which tell of long prompts ahead at a slow engine. */
+    /** The same in predicted times to the first event, which account for long prompts ahead at a slow engine. */
     private static final double SILENCE_PREDICTION_FACTOR = 4;
-    /** Shortest such silence; below it a short queue at a sound target would count as silence. */
+    /** Lower bound of this timeout; below it, a short queue at a healthy target would count as silence. */
     private static final long MIN_FIRST_BYTE_TIMEOUT_MILLIS = 600;
-    /** Silence within a stream after which it is resumed elsewhere; callers abandon it at two seconds. */
+    /** Silence within a stream after which it is resumed at another target; callers abandon it after two seconds. */
     private static final long STREAM_SILENCE_TIMEOUT_MILLIS = 1_200;
 
     private final long firstByteTimeoutMillis;
@@ -16,11 +16,11 @@
     private boolean targetReported;
 
     /**
-     * Begins to watch.
+     * Starts watching a request.
      *
-     * @param objectiveMillis latency objective of the request
-     * @param predictedMillis predicted time to its first event
-     * @param nowMillis steady time in milliseconds at which it is sent
+     * @param objectiveMillis latency objective of the request in milliseconds
+     * @param predictedMillis predicted time to its first event in milliseconds
+     * @param nowMillis monotonic time in milliseconds at which the request is sent
      */
     SilenceWatch(long objectiveMillis, double predictedMillis, long nowMillis) {
         long byObjective = Math.max(MIN_FIRST_BYTE_TIMEOUT_MILLIS, SILENCE_OBJECTIVE_FACTOR * objectiveMillis);
@@ -28,35 +28,36 @@
         lastByteAtMillis = nowMillis;
     }
 
-    /** Notes that bytes of the answer came. */
+    /** Records that bytes of the response were received. */
     void bytesReceived(long nowMillis) {
         lastByteAtMillis = nowMillis;
     }
 
-    /** Returns when bytes last came; when it was sent, if none did. */
+    /** Returns the time of the last received bytes, or of sending the request if there are none. */
     long lastByteAtMillis() {
         return lastByteAtMillis;
     }
 
     /**
-     * Tells whether the target has just been silent for too long, towards this request and all others of this process.
-     * Only once: a target that is sound again would be ejected anew as long as this request hangs there.
+     * Tells whether the target has become silent for too long, for this request and all others of this process. Returns
+     * true only once: otherwise a target that has recovered would be ejected again for as long as this request hangs
+     * there.
      */
-    boolean targetBecameSilent(TargetEntry entry, boolean streamBegun, long nowMillis) {
-        long spokeAtMillis = Math.max(lastByteAtMillis, entry.lastByteAtMillis());
-        if (targetReported || nowMillis - spokeAtMillis <= timeoutMillis(streamBegun)) {
+    boolean targetBecameSilent(TargetEntry entry, boolean streamStarted, long nowMillis) {
+        long lastTargetByteAtMillis = Math.max(lastByteAtMillis, entry.lastByteAtMillis());
+        if (targetReported || nowMillis - lastTargetByteAtMillis <= timeoutMillis(streamStarted)) {
             return false;
         }
         targetReported = true;
         return true;
     }
 
-    /** Tells whether nothing has come for this request for too long. */
-    boolean requestStalled(boolean streamBegun, long nowMillis) {
-        return nowMillis - lastByteAtMillis > timeoutMillis(streamBegun);
+    /** Tells whether nothing was received for this request for too long. */
+    boolean requestStalled(boolean streamStarted, long nowMillis) {
+        return nowMillis - lastByteAtMillis > timeoutMillis(streamStarted);
     }
 
-    private long timeoutMillis(boolean streamBegun) {
-        return streamBegun ? STREAM_SILENCE_TIMEOUT_MILLIS : firstByteTimeoutMillis;
+    private long timeoutMillis(boolean streamStarted) {
+        return streamStarted ? STREAM_SILENCE_TIMEOUT_MILLIS : firstByteTimeoutMillis;
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetAnswerDecoder.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetAnswerDecoder.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
-/** Reads answers of targets; the answer to a HEAD request has no body, whatever length it names. */
+/** Decodes responses of targets; a response to a HEAD request has no body, whatever its Content-Length. */
 final class TargetAnswerDecoder extends HttpResponseDecoder {
     private boolean answersHeadRequest;
 
@@ -13,7 +13,7 @@
         super(config);
     }
 
-    /** Notes the method of the request whose answer comes next. */
+    /** Sets the method of the request whose response is decoded next. */
     void setRequestMethod(HttpMethod method) {
         answersHeadRequest = method.equals(HttpMethod.HEAD);
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetConnection.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetConnection.java
@@ -19,14 +19,14 @@
 /**
  * One connection to a target; it carries one request at a time.
  *
- * <p>Targets may send an answer twice, late, cut short or not at all. An answer is taken only if it names the attempt
- * that is under way; after anything odd the connection is closed once the answer is in, so that no stray byte can ever
- * be read as the next request's answer.
+ * <p>Targets may send a response twice, late, truncated or not at all. A response that carries the id of another
+ * attempt is skipped. After any irregularity the connection is closed once the response is complete, so that no stray
+ * byte can be read as the response to the next request.
  */
 final class TargetConnection extends SimpleChannelInboundHandler<HttpObject> {
-    /** Idle time assumed where a target does not say how long it keeps a connection. */
+    /** Keep-alive time assumed for a target that does not announce one. */
     private static final long DEFAULT_KEEP_ALIVE_MILLIS = 2_000;
-    /** Closed this much before the target would, so that a request does not cross its close. */
+    /** Time before the end of the keep-alive time at which a connection expires, lest a request cross its close. */
     private static final long KEEP_ALIVE_MARGIN_MILLIS = 700;
 
     private enum Phase {
@@ -60,9 +60,9 @@
         channel = context.channel();
     }
 
-    /** Sends a request; an empty attempt id takes any answer. */
-    void send(HttpRequest request, ByteBuf body, String id, TargetListener follower) {
-        listener = follower;
+    /** Sends a request; with an empty attempt id, any response is accepted. */
+    void send(HttpRequest request, ByteBuf body, String id, TargetListener responseListener) {
+        listener = responseListener;
         attemptId = id;
         phase = Phase.AWAITING_HEAD;
         if (body.isReadable() || HttpUtil.isContentLengthSet(request)) {
@@ -76,28 +76,28 @@
         written = channel.writeAndFlush(new DefaultLastHttpContent());
     }
 
-    /** Closes the connection and with it the request under way, without a word to its listener. */
+    /** Closes the connection and cancels the current request without notifying its listener. */
     void cancel() {
         listener = null;
         close();
     }
 
-    /** Stops or goes on reading, as the caller's connection can take more. */
+    /** Pauses or resumes reading, as the caller's connection becomes unwritable or writable. */
     void setReading(boolean on) {
         channel.config().setAutoRead(on);
     }
 
-    /** Tells whether the connection has been idle for longer than a target keeps it. */
+    /** Tells whether the connection has been idle for longer than the target's keep-alive time, less a margin. */
     boolean stale(long nowMillis) {
         return nowMillis - idleSinceMillis > Math.max(0, keepAliveMillis - KEEP_ALIVE_MARGIN_MILLIS);
     }
 
-    /** Returns how long the connection has been idle. */
+    /** Returns the idle time of the connection in milliseconds. */
     long idleMillis(long nowMillis) {
         return nowMillis - idleSinceMillis;
     }
 
-    /** Tells whether the connection is open and free. */
+    /** Tells whether the connection is open and carries no request. */
     boolean usable() {
         return phase == Phase.IDLE && channel.isActive();
     }
@@ -135,10 +135,10 @@
             reusable = false;
         }
         answer.keepAliveMillis().ifPresent(millis -> keepAliveMillis = millis);
-        boolean another = !attemptId.isEmpty()
+        boolean otherAttempt = !attemptId.isEmpty()
                 && !answer.attemptId().isEmpty()
                 && !answer.attemptId().equals(attemptId);
-        if (another) {
+        if (otherAttempt) {
             reusable = false;
             phase = Phase.SKIPPING_BODY;
             return;
@@ -171,7 +171,7 @@
     }
 
     private void finish() {
-        TargetListener follower = listener;
+        TargetListener current = listener;
         listener = null;
         if (reusable && written.isDone() && written.isSuccess() && channel.isActive()) {
             phase = Phase.IDLE;
@@ -181,15 +181,15 @@
         } else {
             close();
         }
-        follower.complete();
+        current.complete();
     }
 
     private void fail(TargetFailure failure) {
-        TargetListener follower = listener;
+        TargetListener current = listener;
         listener = null;
         close();
-        if (follower != null) {
-            follower.failed(failure);
+        if (current != null) {
+            current.failed(failure);
         }
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetConnectionPool.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetConnectionPool.java
@@ -16,13 +16,13 @@
 import java.util.function.Consumer;
 import org.whinwharf.time.Ticker;
 
-/** Connections of this process to one target. */
+/** Pool of this process's connections to one target. */
 final class TargetConnectionPool {
-    /** Longest time to connect: two hundred times a round trip, and below the shortest objective's patience. */
+    /** Connect timeout: 200 round-trip times, and less than the queue timeout of the shortest objective. */
     private static final int CONNECT_TIMEOUT_MILLIS = 600;
-    /** Most bytes of an answer's head. */
+    /** Maximum size of a response's head in bytes. */
     private static final int MAX_HEADER_BYTES = 32_768;
-    /** Idle time up to which a connection is trusted with a request that must not be lost in a close. */
+    /** Maximum idle time of a connection used for a request that must not be lost when the target closes it. */
     private static final long MAX_FRESH_IDLE_MILLIS = 1_000;
 
     private final Bootstrap bootstrap;
@@ -51,45 +51,46 @@
                 });
     }
 
-    /** Hands out a connection, idle or new; nothing when none can be made. */
-    void acquire(boolean mustBeFresh, Consumer<Optional<TargetConnection>> taker) {
+    /** Passes an idle or a new connection to the consumer, or an empty value when no connection can be established. */
+    void acquire(boolean mustBeFresh, Consumer<Optional<TargetConnection>> consumer) {
         long nowMillis = ticker.nowMillis();
         while (!idle.isEmpty()) {
-            TargetConnection link = idle.pollLast();
-            boolean old = link.stale(nowMillis) || mustBeFresh && link.idleMillis(nowMillis) > MAX_FRESH_IDLE_MILLIS;
-            if (link.usable() && !old) {
-                taker.accept(Optional.of(link));
+            TargetConnection connection = idle.pollLast();
+            boolean expired = connection.stale(nowMillis)
+                    || mustBeFresh && connection.idleMillis(nowMillis) > MAX_FRESH_IDLE_MILLIS;
+            if (connection.usable() && !expired) {
+                consumer.accept(Optional.of(connection));
                 return;
             }
-            link.close();
+            connection.close();
         }
         bootstrap.connect().addListener((ChannelFuture future) -> {
             if (future.isSuccess()) {
-                taker.accept(Optional.of(future.channel().pipeline().get(TargetConnection.class)));
+                consumer.accept(Optional.of(future.channel().pipeline().get(TargetConnection.class)));
             } else {
-                taker.accept(Optional.empty());
+                consumer.accept(Optional.empty());
             }
         });
     }
 
-    /** Takes back a connection whose answer is in. */
-    void release(TargetConnection link) {
-        idle.addLast(link);
+    /** Returns a connection to the pool after a complete response. */
+    void release(TargetConnection connection) {
+        idle.addLast(connection);
     }
 
-    /** Notes that a connection is closed. */
-    void closed(TargetConnection link) {
-        idle.remove(link);
+    /** Removes a closed connection. */
+    void closed(TargetConnection connection) {
+        idle.remove(connection);
     }
 
-    /** Closes connections that have been idle for too long. */
+    /** Closes connections that have been idle for longer than their keep-alive time. */
     void closeStale() {
         long nowMillis = ticker.nowMillis();
-        for (Iterator<TargetConnection> links = idle.iterator(); links.hasNext(); ) {
-            TargetConnection link = links.next();
-            if (link.stale(nowMillis)) {
-                links.remove();
-                link.close();
+        for (Iterator<TargetConnection> connections = idle.iterator(); connections.hasNext(); ) {
+            TargetConnection connection = connections.next();
+            if (connection.stale(nowMillis)) {
+                connections.remove();
+                connection.close();
             }
         }
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetEntry.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetEntry.java
@@ -2,7 +2,7 @@
 
 import org.whinwharf.traffic.target.TargetState;
 
-/** One target with its connections and what was last seen of it. */
+/** One target: its state, its connections and the time of its last bytes. */
 final class TargetEntry {
     private final TargetState state;
     private final TargetConnectionPool pool;
@@ -21,12 +21,12 @@
         return pool;
     }
 
-    /** Notes that bytes came from the target. */
+    /** Records that bytes were received from the target. */
     void bytesReceived(long nowMillis) {
         lastByteAtMillis = nowMillis;
     }
 
-    /** Returns when bytes last came from the target. */
+    /** Returns the monotonic time in milliseconds of the last bytes received from the target. */
     long lastByteAtMillis() {
         return lastByteAtMillis;
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetFailure.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetFailure.java
@@ -2,15 +2,15 @@
 
 import org.whinwharf.wire.fleet.RunEvent;
 
-/** Why a target gave no whole answer. */
+/** Reason why a target gave no complete response; the constants' names are written to the log. */
 enum TargetFailure {
-    /** No connection could be made: the request was not sent. */
+    /** No connection could be established, so the request was not sent. */
     UNREACHABLE(true, RunEvent.RUN_UNREACHABLE),
-    /** The connection ended after the request was sent. */
+    /** The connection was closed after the request was sent. */
     CLOSED(false, RunEvent.RUN_BROKEN),
-    /** What came is no answer to the request. */
+    /** The received bytes are not a valid response to the request. */
     GARBLED(false, RunEvent.RUN_BROKEN),
-    /** Nothing came for too long. */
+    /** Nothing was received for too long. */
     SILENT(true, RunEvent.RUN_SILENT);
 
     private final boolean conclusive;
@@ -21,12 +21,12 @@
         this.event = event;
     }
 
-    /** Tells whether one such failure shows that the target is out of use. */
+    /** Tells whether a single such failure shows that the target is unusable. */
     boolean conclusive() {
         return conclusive;
     }
 
-    /** Returns what a coordinator is told. */
+    /** Returns the event that is reported to the coordinator. */
     RunEvent event() {
         return event;
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetListener.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetListener.java
@@ -3,17 +3,17 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Follows one request at a target. */
+/** Receives the response to one request at a target. */
 interface TargetListener {
-    /** Takes the head of the answer. */
+    /** Receives the head of the response. */
     void head(HttpResponse response, ResponseHead head);
 
-    /** Takes a piece of the body; the buffer is the caller's to release. */
-    void content(ByteBuf piece);
+    /** Receives a chunk of the body; the implementation must release the buffer. */
+    void content(ByteBuf chunk);
 
-    /** Notes that the whole answer came. */
+    /** Called when the response is complete. */
     void complete();
 
-    /** Notes that no whole answer will come. */
+    /** Called when no complete response will be received. */
     void failed(TargetFailure failure);
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRegistry.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRegistry.java
@@ -23,13 +23,13 @@
 import org.whinwharf.traffic.target.Target;
 import org.whinwharf.traffic.target.TargetState;
 
-/** All targets that this process knows, with their connections and health. */
+/** Holds all targets known to this process, with their connections and health. */
 final class TargetRegistry implements TargetOutcomeListener {
-    /** Extra time a target counts as cold after it said it would be warm: its word may be a heartbeat old. */
+    /** Extra time for which a target counts as cold after the announced end, which may be one heartbeat out of date. */
     private static final long COLD_MARGIN_MILLIS = 300;
-    /** Share of a service's targets that errors alone may take out of use. */
+    /** Maximum share of a service's targets that may be ejected because of error responses alone. */
     private static final double MAX_EJECTED_SHARE = 0.4;
-    /** Time a health check may take; the shortest service's objective leaves no longer. */
+    /** Timeout of a health check, as the shortest latency objective of a service allows no more. */
     private static final long PROBE_TIMEOUT_MILLIS = 500;
 
     private final EventLoopGroup loop;
@@ -54,18 +54,19 @@
         this.catalog = catalog;
     }
 
-    /** Takes a published target; a new lifetime that appears during service counts as cold. */
-    void publish(Target target, boolean duringService) {
+    /** Adds or updates a published target; a target that starts or restarts after the initial copy counts as cold. */
+    void publish(Target target, boolean afterInitialCopy) {
         long nowMillis = ticker.nowMillis();
         TargetEntry known = entries.get(target.id());
-        boolean moved = known != null && !known.state().target().address().equals(target.address());
-        boolean otherService =
+        boolean addressChanged =
+                known != null && !known.state().target().address().equals(target.address());
+        boolean serviceChanged =
                 known != null && !known.state().target().service().equals(target.service());
-        if (moved || otherService) {
+        if (addressChanged || serviceChanged) {
             evict(target.id());
             known = null;
         }
-        boolean reborn = known != null
+        boolean restarted = known != null
                 && (known.state().target().startedUnixMillis() != target.startedUnixMillis()
                         || known.state().removed(nowMillis));
         if (known == null) {
@@ -73,14 +74,14 @@
             known = new TargetEntry(new TargetState(target), pool);
             entries.put(target.id(), known);
             byService.computeIfAbsent(target.service(), name -> new HashMap<>()).put(target.id(), known.state());
-            reborn = duringService;
+            restarted = afterInitialCopy;
             FrontLog.published(target, target.draining() ? "leaving" : "new");
-        } else if (known.state().target().draining() != target.draining() || reborn) {
+        } else if (known.state().target().draining() != target.draining() || restarted) {
             FrontLog.published(target, target.draining() ? "leaving" : "reborn");
         }
         known.state().update(target);
         long coldMillis = target.coldRemainingMillis();
-        if (reborn) {
+        if (restarted) {
             coldMillis = Math.max(coldMillis, coldStartMillis(target.service()));
         }
         if (coldMillis > 0) {
@@ -91,7 +92,7 @@
         }
     }
 
-    /** Takes the removal of a target's entry; it counts as gone from the given time on. */
+    /** Records that a target's entry was removed; the target counts as gone from the given time on. */
     void remove(String targetId, long goneAtMillis) {
         TargetEntry entry = entries.get(targetId);
         if (entry != null) {
@@ -100,7 +101,7 @@
         }
     }
 
-    /** Takes the data centres that must get nothing new; targets of one that returns count as cold. */
+    /** Sets the data centres that receive no new requests; targets in a data centre that returns count as cold. */
     void evacuate(Set<String> dataCentres) {
         long nowMillis = ticker.nowMillis();
         Set<String> returned = new HashSet<>(evacuated);
@@ -118,7 +119,7 @@
         return evacuated;
     }
 
-    /** Tells whether a target that was chosen a moment ago may still get a request. */
+    /** Tells whether a target that was just selected may still receive a request. */
     boolean mayReceive(TargetEntry entry) {
         return entry.state().usable(ticker.nowMillis())
                 && !evacuated.contains(entry.state().target().dataCentre());
@@ -137,31 +138,31 @@
         return entries.values();
     }
 
-    /** Returns how many targets are out of use after failures. */
+    /** Returns the number of targets that are ejected after failures. */
     long ejected() {
         return entries.values().stream()
                 .filter(entry -> entry.state().health().ejected())
                 .count();
     }
 
-    /** Takes a failure into the target's health. */
-    void failed(TargetEntry entry, TargetFailure failure) {
-        failed(entry, failure.conclusive(), failure.name());
+    /** Records a failure in the target's health. */
+    void recordFailure(TargetEntry entry, TargetFailure failure) {
+        recordFailure(entry, failure.conclusive(), failure.name());
     }
 
-    private void failed(TargetEntry entry, boolean certain, String reason) {
-        if (entry.state().health().recordFailure(ticker.nowMillis(), certain)) {
+    private void recordFailure(TargetEntry entry, boolean conclusive, String reason) {
+        if (entry.state().health().recordFailure(ticker.nowMillis(), conclusive)) {
             entry.pool().closeIdle();
             metrics.ejected();
             FrontLog.ejected(entry.state().target(), reason);
         }
     }
 
-    /** Takes an error answer into the target's health, unless too many of its peers are out of use already. */
-    void erred(TargetEntry entry) {
-        Collection<TargetState> peers = ofService(entry.state().target().service());
-        long ejected = peers.stream().filter(state -> state.health().ejected()).count();
-        if (ejected + 1 > peers.size() * MAX_EJECTED_SHARE) {
+    /** Records an error response in the target's health, unless too many targets of its service are already ejected. */
+    void recordError(TargetEntry entry) {
+        Collection<TargetState> states = ofService(entry.state().target().service());
+        long ejected = states.stream().filter(state -> state.health().ejected()).count();
+        if (ejected + 1 > states.size() * MAX_EJECTED_SHARE) {
             return;
         }
         if (entry.state().health().recordErrorAnswer(ticker.nowMillis())) {
@@ -182,19 +183,19 @@
     public void erred(String targetId) {
         TargetEntry entry = entries.get(targetId);
         if (entry != null) {
-            erred(entry);
+            recordError(entry);
         }
     }
 
     @Override
-    public void failed(String targetId, boolean certain) {
+    public void failed(String targetId, boolean conclusive) {
         TargetEntry entry = entries.get(targetId);
         if (entry != null) {
-            failed(entry, certain, "REPORTED");
+            recordFailure(entry, conclusive, "REPORTED");
         }
     }
 
-    /** Takes what all processes have under way at a target. */
+    /** Sets the load of all processes at a target. */
     void updateLoad(String targetId, RunningRequests.Load load) {
         TargetEntry entry = entries.get(targetId);
         if (entry != null) {
@@ -202,7 +203,7 @@
         }
     }
 
-    /** Probes ejected targets, drops those long gone and closes idle connections. */
+    /** Probes ejected targets, evicts targets that are gone and closes stale connections. */
     void sweep() {
         long nowMillis = ticker.nowMillis();
         for (TargetEntry entry : List.copyOf(entries.values())) {
@@ -245,7 +246,7 @@
                 probe.done(OptionalLong.empty());
                 return;
             }
-            probe.link = acquired.get();
+            probe.connection = acquired.get();
             loop.schedule(probe::timedOut, PROBE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             acquired.get().send(check, Unpooled.EMPTY_BUFFER, "", probe);
         });
@@ -253,7 +254,7 @@
 
     private final class Probe implements TargetListener {
         private final TargetEntry entry;
-        private TargetConnection link;
+        private TargetConnection connection;
         private OptionalLong coldMillis = OptionalLong.empty();
         private boolean ended;
 
@@ -267,8 +268,8 @@
         }
 
         @Override
-        public void content(ByteBuf piece) {
-            piece.release();
+        public void content(ByteBuf chunk) {
+            chunk.release();
         }
 
         @Override
@@ -283,7 +284,7 @@
 
         void timedOut() {
             if (!ended) {
-                link.cancel();
+                connection.cancel();
                 done(OptionalLong.empty());
             }
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRun.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRun.java
@@ -4,7 +4,7 @@
 import org.whinwharf.traffic.target.TargetState;
 import org.whinwharf.wire.fleet.RunEvent;
 
-/** One request at one target, from its placement to its end; keeps the target's counts and what it teaches of speed. */
+/** One run of a request at a target, from placement to end; updates the target's load, health and measured speed. */
 final class TargetRun {
     private final TargetEntry entry;
     private final Candidate candidate;
@@ -37,12 +37,12 @@
         return firstByteReceived;
     }
 
-    /** Returns the time from sending to the first byte. */
+    /** Returns the time from sending the request to the first byte of the response. */
     long firstByteMillis() {
         return firstByteAtMillis - sentAtMillis;
     }
 
-    /** Notes the first byte of an answer. */
+    /** Records the first byte of the response. */
     void firstByte(long nowMillis) {
         firstByteReceived = true;
         firstByteAtMillis = nowMillis;
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Notes the head of a successful answer. Refusals and errors come sooner than answers; counted, they would make a
-     * failing target look like the fastest.
+     * Records the head of a successful response. Must not be called for rejections and errors: they arrive sooner than
+     * successful responses, and would make a failing target look like the fastest.
      */
     void succeeded() {
         state().health().recordAnswerStart();
@@ -60,20 +60,20 @@
     }
 
     /**
-     * Notes that nothing has come for long.
+     * Records that the target has sent nothing for too long.
      *
-     * @return false when this process has to judge the target itself
+     * @return false when there is no coordinator, so that this process must assess the target itself
      */
     boolean stalled() {
         return ticket.stalled();
     }
 
     /**
-     * Notes the end of the request at this target.
+     * Records the end of the run.
      *
-     * @param event how it ended
-     * @param answerTokens bound on the answer's length; 0 when its duration says nothing about speed
-     * @param nowMillis steady time of the last byte
+     * @param event how the run ended
+     * @param answerTokens upper bound of the answer's length in tokens; 0 when its duration does not indicate speed
+     * @param nowMillis monotonic time of the last byte in milliseconds
      */
     void end(RunEvent event, long answerTokens, long nowMillis) {
         if (ended) {
@@ -84,14 +84,14 @@
             state().recordPrefillEnd(candidate.uncachedTokens());
         }
         state().recordEnd();
-        long tookMillis = answerTokens > 0 ? nowMillis - firstByteAtMillis : 0;
-        if (tookMillis > 0) {
-            state().speed().recordAnswer(answerTokens, tookMillis);
+        long elapsedMillis = answerTokens > 0 ? nowMillis - firstByteAtMillis : 0;
+        if (elapsedMillis > 0) {
+            state().speed().recordAnswer(answerTokens, elapsedMillis);
         }
         if (event == RunEvent.RUN_REFUSED) {
             state().recordFullRejection(nowMillis);
         }
-        ticket.ended(event, tookMillis);
+        ticket.ended(event, elapsedMillis);
     }
 
     private TargetState state() {
