--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/CoordinationTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/CoordinationTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Fronts that place the requests of engines together. */
+/** Tests fronts that place the requests of an engine through a common coordinator. */
 class CoordinationTest {
     private static final int FRONTS = 3;
     private static final long TIMEOUT_MILLIS = 100_000;
-    /** Long enough that no request is refused while the test looks at it. */
+    /** Long enough that no request is rejected during a test. */
     private static final long OBJECTIVE_MILLIS = 10_000;
 
     private final List<FrontFixture> fronts = new ArrayList<>();
@@ -41,15 +41,15 @@
     }
 
     /**
-     * Two fronts get a request each for an engine with one slot. On its own, each would take the slot for free, and the
-     * second request would wait inside the engine, where no tier goes before another.
+     * Two fronts receive one request each for an engine with one slot. Without a coordinator, each front takes the slot
+     * to be free, and the second request is queued inside the engine, where higher tiers have no priority.
      */
     @Test
-    void oneSlotIsGivenOnceByAllFrontsTogether() throws Exception {
-        // A busy machine must not make a coordinator look silent here.
+    void oneSlotIsGrantedOnceAcrossFronts() throws Exception {
+        // A high timeout, so that the coordinator is not taken for silent on a busy machine.
         startFleet(TIMEOUT_MILLIS);
-        CountDownLatch answerNow = new CountDownLatch(1);
-        FakeTarget engine = engine(1, answerNow);
+        CountDownLatch answerAllowed = new CountDownLatch(1);
+        FakeTarget engine = engine(1, answerAllowed);
         try (Socket first = fronts.get(0).connect();
                 Socket second = fronts.get(1).connect()) {
             FakeTarget.write(first, FrontFixture.request("POST", "/unsafe/x", "a", true));
@@ -57,18 +57,18 @@
             FakeTarget.write(second, FrontFixture.request("POST", "/unsafe/x", "b", true));
             FrontFixture.await(() -> queuedRequests() == 1);
             assertThat(engine.requests(), hasSize(1));
-            answerNow.countDown();
+            answerAllowed.countDown();
             assertThat(FrontFixture.readAll(first), endsWith("whole"));
             assertThat(FrontFixture.readAll(second), endsWith("whole"));
         }
     }
 
     /**
-     * The process that places all requests is killed. The others notice by its silence, and each request is answered
-     * all the same, whichever front it comes to.
+     * The coordinator is killed. The other fronts detect its silence, and every request is still answered, whichever
+     * front receives it.
      */
     @Test
-    void deathOfTheCoordinatorFailsNoRequest() throws Exception {
+    void killedCoordinatorFailsNoRequest() throws Exception {
         startFleet(100);
         FakeTarget engine = engine(8, new CountDownLatch(0));
         fronts.get(0).exchange(FrontFixture.request("POST", "/unsafe/x", "first", true));
@@ -85,9 +85,9 @@
         assertThat(engine.requests(), hasSize(FRONTS));
     }
 
-    private FakeTarget engine(int slots, CountDownLatch answerNow) throws IOException {
+    private FakeTarget engine(int slots, CountDownLatch answerAllowed) throws IOException {
         FakeTarget engine = new FakeTarget("127.0.0.1", (request, socket) -> {
-            FrontFixture.awaitLatch(answerNow);
+            FrontFixture.awaitLatch(answerAllowed);
             FakeTarget.write(socket, FakeTarget.answer(request, 200, "whole"));
         });
         fronts.forEach(front -> front.publish("engine", "127.0.0.1", engine.port(), slots));
@@ -102,8 +102,8 @@
     }
 
     private static boolean isCoordinator(FrontFixture front) {
-        boolean[] own = new boolean[1];
-        front.run(() -> own[0] = !front.front().coordination().hasRemoteCoordinator("service"));
-        return own[0];
+        boolean[] result = new boolean[1];
+        front.run(() -> result[0] = !front.front().coordination().hasRemoteCoordinator("service"));
+        return result[0];
     }
 }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FakeTarget.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FakeTarget.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** A target that answers each request as its script says. */
+/** Target that answers each request by running a script. */
 final class FakeTarget implements AutoCloseable {
     /** Answers one request; the connection stays open unless the script closes it. */
     interface Script {
@@ -36,35 +36,38 @@
         return server.getLocalPort();
     }
 
-    /** Returns the heads of all requests so far. */
+    /** Returns the heads of all requests received so far. */
     List<String> requests() {
         return requests;
     }
 
-    /** Connections that the other side closed, in order. */
+    /**
+     * Returns the closed connections in order: for each, the head of its last request, with the error if reading or
+     * answering failed.
+     */
     BlockingQueue<String> closedConnections() {
         return closedConnections;
     }
 
-    /** Writes text as it is. */
+    /** Writes text unchanged. */
     static void write(Socket socket, String text) throws IOException {
         OutputStream out = socket.getOutputStream();
         out.write(text.getBytes(StandardCharsets.US_ASCII));
         out.flush();
     }
 
-    /** Makes a whole signed answer. */
+    /** Returns a complete signed response. */
     static String answer(String request, int status, String body) {
         return "HTTP/1.1 " + status + " X\r\nAttempt: " + attemptId(request) + "\r\nSigned: yes\r\nContent-Length: "
                 + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Makes one chunk of an answer that is sent in chunks. */
+    /** Returns one chunk of a response in chunked transfer encoding. */
     static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** Returns the attempt that a request names. */
+    /** Returns the attempt id that a request carries. */
     static String attemptId(String request) {
         for (String line : request.split("\r\n")) {
             if (line.regionMatches(true, 0, "Attempt:", 0, 8)) {
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FleetTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FleetTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.api.Test;
 import org.whinwharf.traffic.items.PublishedValue;
 
-/** Fronts that act together. */
+/** Tests the interaction of several fronts. */
 class FleetTest {
     private static final long TIMEOUT_SECONDS = 20;
 
     @Test
-    void frontsNameEachOtherToCallers() throws Exception {
+    void frontsAdvertiseEachOtherToCallers() throws Exception {
         try (FrontFixture one = new FrontFixture();
                 FrontFixture two = new FrontFixture(List.of(one.ip()))) {
             one.publishCatalog(1, 1_000);
@@ -32,33 +32,35 @@
     }
 
     /**
-     * The publishing service turns one front away and serves the others. A key that is taken away meanwhile would go on
-     * working there; the front hears of it from a peer.
+     * The publishing service rejects one front and serves the others. Without its peers, that front would keep
+     * accepting a key that is revoked meanwhile; it receives the change from a peer.
      */
     @Test
-    void frontThatCannotReadTheServiceHearsItemsFromAPeer() throws Exception {
+    void frontThatCannotReadTheServiceReceivesItemsFromAPeer() throws Exception {
         try (FrontFixture one = new FrontFixture();
                 FrontFixture two = new FrontFixture(List.of(one.ip()))) {
-            BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-            two.run(() -> two.front().feed().listener((value, duringService, away) -> heard.add(value.key())));
+            BlockingQueue<String> received = new LinkedBlockingQueue<>();
+            two.run(() -> two.front()
+                    .feed()
+                    .listener((value, afterInitialCopy, readableForMillis) -> received.add(value.key())));
             one.run(() -> one.front().feed().applySnapshot(List.of(item("routes", 3)), 3));
-            assertThat(heard.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), is("routes"));
+            assertThat(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), is("routes"));
             one.run(() -> one.front().feed().applyWatchEvents(List.of(item("keys", 4)), 4));
-            assertThat(heard.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), is("keys"));
+            assertThat(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), is("keys"));
         }
     }
 
     /**
-     * A front is stopped for a replacement while it answers a request and a caller still comes with an older list of
-     * addresses. Both get their answers, and its peers name it to nobody any more.
+     * A front is stopped for a replacement while it handles a request, and another caller connects with an older list
+     * of addresses. Both receive their responses, and the peers no longer give out the front's address.
      */
     @Test
-    void plannedStopCutsOffNoRequest() throws Exception {
-        CountDownLatch answerNow = new CountDownLatch(1);
+    void plannedStopInterruptsNoRequest() throws Exception {
+        CountDownLatch answerAllowed = new CountDownLatch(1);
         try (FrontFixture one = new FrontFixture();
                 FrontFixture two = new FrontFixture(List.of(one.ip()))) {
             FakeTarget target = one.target("t", (request, socket) -> {
-                FrontFixture.awaitLatch(answerNow);
+                FrontFixture.awaitLatch(answerAllowed);
                 FakeTarget.write(socket, FakeTarget.answer(request, 200, "whole"));
             });
             one.publishCatalog(1, 15_000);
@@ -72,7 +74,7 @@
                 one.front().stop();
                 FrontFixture.await(
                         () -> two.advertisedFronts() == 1 && !one.front().ready());
-                answerNow.countDown();
+                answerAllowed.countDown();
                 assertThat(FrontFixture.readAll(early), endsWith("whole"));
                 String late = one.exchange(FrontFixture.request("POST", "/unsafe/x", "b", false));
                 assertThat(late, startsWith("HTTP/1.1 200"));
@@ -82,9 +84,9 @@
         }
     }
 
-    /** A front is killed. Callers must not be sent to it for longer than a few lost reports take. */
+    /** A front is killed. Its peers must stop giving out its address once a few of its reports are missing. */
     @Test
-    void silentFrontIsNamedNoMore() throws Exception {
+    void silentFrontIsNoLongerAdvertised() throws Exception {
         try (FrontFixture two = new FrontFixture()) {
             two.publishCatalog(1, 1_000);
             try (FrontFixture one = new FrontFixture(List.of(two.ip()))) {
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FrontFixture.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FrontFixture.java
@@ -25,7 +25,7 @@
 import org.whinwharf.traffic.catalog.ServiceWeight;
 import org.whinwharf.traffic.target.ImmutableTarget;
 
-/** One front process with fake targets, on a loopback address of its own. */
+/** One front process with fake targets, on its own loopback address. */
 final class FrontFixture implements AutoCloseable {
     private static final AtomicInteger NEXT_ADDRESS = new AtomicInteger(1);
     private static final int CALLER_PORT = 18_211;
@@ -34,7 +34,7 @@
     private static final long TIMEOUT_SECONDS = 20;
     private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-    /** Two test runs at once must not meet on an address; no two processes share an id. */
+    /** Part of the loopback address, so that concurrent test runs do not share one: process ids are unique. */
     private static final long PID = ProcessHandle.current().pid();
 
     private final String ip =
@@ -46,12 +46,12 @@
         this(List.of());
     }
 
-    /** Starts a front that asks the given addresses for the others of its fleet. */
+    /** Starts a front that discovers its fleet from the given seed addresses. */
     FrontFixture(List<String> seedIps) {
         this(seedIps, 120);
     }
 
-    /** Does the same with another patience for coordinators that do not answer. */
+    /** Starts a front with seed addresses and the given timeout for coordinators that do not reply. */
     FrontFixture(List<String> seedIps, long coordinatorTimeoutMillis) {
         front = new Front(
                 ImmutableFrontSettings.builder()
@@ -98,7 +98,7 @@
         return target;
     }
 
-    /** Publishes a target that was started elsewhere. */
+    /** Publishes a target that is already running. */
     void publish(String id, String targetIp, int port, int slots) {
         run(() -> front.publish(
                 ImmutableTarget.builder()
@@ -115,17 +115,17 @@
                 false));
     }
 
-    /** Publishes routes for all kinds of requests and waits until callers are accepted. */
+    /** Publishes routes of all kinds and waits until the front is ready. */
     void publishCatalog(int attempts, long timeoutMillis) {
         publishCatalog(attempts, timeoutMillis, false);
     }
 
-    /** Does the same for a service whose targets are engines, if so asked. */
+    /** Publishes routes of all kinds to a service whose targets are engines or not. */
     void publishCatalog(int attempts, long timeoutMillis, boolean engine) {
         publishCatalog(attempts, timeoutMillis, engine, 200);
     }
 
-    /** Does the same with another objective, on which it depends how long requests wait. */
+    /** Publishes routes of all kinds with the given latency objective, from which queue timeouts are derived. */
     void publishCatalog(int attempts, long timeoutMillis, boolean engine, long objectiveMillis) {
         List<Route> routes = List.of(
                 route("/safe/", RouteKind.SAFE, attempts, timeoutMillis, objectiveMillis, false),
@@ -168,21 +168,21 @@
                 .build();
     }
 
-    /** Opens a connection to the port of metrics. */
+    /** Opens a connection to the metrics port. */
     Socket connectToMetrics() throws IOException {
         Socket socket = new Socket(ip, METRICS_PORT);
         socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         return socket;
     }
 
-    /** Opens a connection as a caller. */
+    /** Opens a connection to the caller port. */
     Socket connect() throws IOException {
         Socket socket = new Socket(ip, CALLER_PORT);
         socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         return socket;
     }
 
-    /** Sends text as it is and returns all that comes until the connection ends. */
+    /** Sends text unchanged and returns everything received until the connection ends. */
     String exchange(String text) throws IOException {
         try (Socket socket = connect()) {
             FakeTarget.write(socket, text);
@@ -212,7 +212,7 @@
         return text.toString();
     }
 
-    /** Reads until the text ends with what is expected. */
+    /** Reads until the text contains the expected end. */
     static String readUntil(Socket socket, String end) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder text = new StringBuilder();
@@ -226,14 +226,14 @@
         return text.toString();
     }
 
-    /** Returns how many fronts this one names to callers. */
+    /** Returns the number of fronts whose addresses this front gives to callers. */
     int advertisedFronts() {
         int[] count = new int[1];
         run(() -> count[0] = front.callerAddresses(64).size());
         return count[0];
     }
 
-    /** Waits within a target's script until a test goes on. */
+    /** Waits in a target's script until the test releases the latch. */
     static void awaitLatch(CountDownLatch latch) throws IOException {
         try {
             if (!latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
@@ -244,7 +244,7 @@
         }
     }
 
-    /** Waits until something holds; fails when that takes far too long. */
+    /** Waits until a condition holds; fails after a timeout. */
     static void await(BooleanSupplier condition) throws InterruptedException {
         long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
@@ -261,7 +261,7 @@
         }
     }
 
-    /** Ends the process's thread at once, as a kill does; nobody is told. */
+    /** Stops the front's event loop at once, as a killed process does, without notifying its peers. */
     void kill() {
         front.loop().shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/SilenceWatchTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/SilenceWatchTest.java
@@ -13,11 +13,11 @@
     private final TargetEntry entry = new TargetEntry(new TargetState(target()), null);
 
     /**
-     * A note waits behind three long prompts at a slow engine, which takes nearly a second for them as was predicted.
-     * Taken for hung after two seconds, the engine would be ejected and the note read a second time elsewhere.
+     * A request waits behind three long prompts at a slow engine, which takes nearly a second for them, as predicted.
+     * If the engine counted as hung after two seconds, it would be ejected and the request prefilled again elsewhere.
      */
     @Test
-    void engineThatWasPredictedToBeSlowMayBeSilentForLonger() {
+    void engineWithSlowPredictionMayBeSilentForLonger() {
         SilenceWatch watch = new SilenceWatch(OBJECTIVE_MILLIS, 900, 0);
         assertThat(watch.targetBecameSilent(entry, false, 2_500), is(false));
         assertThat(watch.requestStalled(false, 2_500), is(false));
@@ -25,16 +25,18 @@
     }
 
     @Test
-    void silenceIsToldOnce() {
+    void silenceIsReportedOnce() {
         SilenceWatch watch = new SilenceWatch(OBJECTIVE_MILLIS, 100, 0);
         assertThat(watch.targetBecameSilent(entry, false, 2_000), is(false));
         assertThat(watch.targetBecameSilent(entry, false, 2_001), is(true));
         assertThat(watch.targetBecameSilent(entry, false, 2_100), is(false));
     }
 
-    /** The target answers another request of this front; this one may still be lost, but the target is not. */
+    /**
+     * The target sends bytes for another request of this front: this request may be stalled, but the target is healthy.
+     */
     @Test
-    void targetThatSpeaksWithAnotherRequestIsNotSilent() {
+    void targetThatAnswersAnotherRequestIsNotSilent() {
         SilenceWatch watch = new SilenceWatch(OBJECTIVE_MILLIS, 100, 0);
         entry.bytesReceived(1_900);
         assertThat(watch.targetBecameSilent(entry, false, 2_500), is(false));
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/StartTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/StartTest.java
@@ -11,8 +11,8 @@
 
 class StartTest {
     /**
-     * All fronts were killed and are starting again. A caller that finds every port closed gives up at once, although
-     * the first front serves a few hundred milliseconds later.
+     * All fronts were killed and are restarting. A caller that finds every port closed fails at once, although the
+     * first front serves a few hundred milliseconds later.
      */
     @Test
     void callerThatConnectsBeforeTheCatalogIsKnownIsServed() throws IOException {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Guards against metrics that are never served: they begin on the front's own thread, which must not wait. */
+    /** Guards against metrics that are never served: their start runs on the event loop, which must not block. */
     @Test
     void metricsAreServedOnceTheFrontHasStarted() throws Exception {
         try (FrontFixture fixture = new FrontFixture()) {
@@ -39,16 +39,16 @@
             FakeTarget.write(socket, "GET /metrics HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
             return FrontFixture.readAll(socket);
         } catch (IOException e) {
-            return "not yet: " + e;
+            return "not served yet: " + e;
         }
     }
 
     /**
-     * The publishing service is away while all fronts start. A caller whose connection nobody reads loses a second of
-     * its time; one that is told to come back soon keeps it.
+     * The publishing service is unavailable while all fronts start. A caller whose connection is not read loses a
+     * second of its deadline; a caller that receives a short Retry-After delay does not.
      */
     @Test
-    void callerIsToldToComeBackWhenTheCatalogStaysUnknown() throws IOException {
+    void callerGetsRetryAfterWhenTheCatalogStaysUnknown() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             String answer = fixture.exchange(FrontFixture.request("GET", "/safe/x", "a", true));
             assertThat(answer, startsWith("HTTP/1.1 503"));
