--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/TestDialect.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/TestDialect.java
@@ -28,7 +28,7 @@
                 .apiKey(Optional.empty())
                 .model("")
                 .promptTokens(0)
-                .answerTokens(0)
+                .maxAnswerTokens(0)
                 .hasTokenCounts(false)
                 .lastEventId(Optional.empty())
                 .build();
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/AdmissionControl.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/AdmissionControl.java
@@ -9,22 +9,22 @@
 import org.whinwharf.traffic.catalog.TierRank;
 import org.whinwharf.traffic.waiting.QueueTimeouts;
 
-/** Decides on arrival whether a request is let in, by routes, keys and quotas. */
+/** Admits or rejects a request on arrival, by routes, API keys and quotas. */
 final class AdmissionControl {
-    /** Outcome of a decision. */
+    /** Outcome of the admission check. */
     sealed interface Decision permits Admitted, Rejected {}
 
     /**
-     * A request that is let in.
+     * An admitted request.
      *
-     * @param route its route, of the catalog in force when it arrived
-     * @param organisation who sends it; empty on public routes
-     * @param service service that takes it
-     * @param tierRank its rank; 0 is served first
-     * @param quotaTokens what it uses of the organisation's quota
-     * @param quotaConsumed true when that was taken; otherwise the coordinator takes it
-     * @param deadlineAtMillis steady time by which it has its final answer
-     * @param queueTimeoutAtMillis steady time until which it may wait for a target
+     * @param route route of the request, from the catalog in force on arrival
+     * @param organisation organisation of the caller; empty on public routes
+     * @param service service that handles the request
+     * @param tierRank tier rank; 0 is served first
+     * @param quotaTokens tokens that the request consumes of the organisation's quota
+     * @param quotaConsumed true when the tokens were consumed here; otherwise the coordinator consumes them
+     * @param deadlineAtMillis time of the monotonic clock by which the caller gets its final response
+     * @param queueTimeoutAtMillis time of the monotonic clock until which the request may wait for a target
      */
     record Admitted(
             Route route,
@@ -38,10 +38,10 @@
             implements Decision {}
 
     /**
-     * A request that is turned away.
+     * A rejected request.
      *
-     * @param error what its caller is told
-     * @param organisation who sent it, if known
+     * @param error response to the caller
+     * @param organisation organisation of the caller, if known
      */
     record Rejected(ErrorResponse error, Optional<Organisation> organisation) implements Decision {}
 
@@ -51,40 +51,45 @@
         this.front = front;
     }
 
+    /** Admits or rejects a request; consumes its quota unless another front coordinates the service. */
     Decision decide(RequestHead head, long nowMillis) {
         Optional<Catalog> catalog = front.catalog();
         if (catalog.isEmpty()) {
             return rejected(ErrorKind.NOT_READY, Front.NOT_READY_RETRY_AFTER_MILLIS, Optional.empty());
         }
-        Optional<Route> found = catalog.get().route(head.authority(), head.path());
-        if (found.isEmpty()) {
+        Optional<Route> matchedRoute = catalog.get().route(head.authority(), head.path());
+        if (matchedRoute.isEmpty()) {
             return rejected(ErrorKind.UNKNOWN_SERVICE, 0, Optional.empty());
         }
-        Route route = found.get();
+        Route route = matchedRoute.get();
         Optional<Organisation> organisation = head.apiKey().flatMap(catalog.get()::organisationOfKey);
         if (catalog.get().requiresKeys() && !route.publicAccess() && organisation.isEmpty()) {
             return rejected(ErrorKind.UNKNOWN_CREDENTIAL, 0, organisation);
         }
         long tokens = quotaTokens(head, organisation);
         String service = route.selectService(head.attemptId());
-        boolean elsewhere = organisation.isPresent() && front.coordination().hasRemoteCoordinator(service);
-        Optional<ErrorResponse> refusal =
-                elsewhere ? Optional.empty() : consumeQuota(organisation, service, tokens, nowMillis);
-        if (refusal.isPresent()) {
-            return new Rejected(refusal.get(), organisation);
+        boolean remoteCoordinator =
+                organisation.isPresent() && front.coordination().hasRemoteCoordinator(service);
+        Optional<ErrorResponse> error =
+                remoteCoordinator ? Optional.empty() : consumeQuota(organisation, service, tokens, nowMillis);
+        if (error.isPresent()) {
+            return new Rejected(error.get(), organisation);
         }
-        return admitted(head, route, organisation, service, tokens, !elsewhere, nowMillis);
+        return admitted(head, route, organisation, service, tokens, !remoteCoordinator, nowMillis);
     }
 
-    /** Takes a request's use from its organisation's quota, or returns why that cannot be. */
+    /**
+     * Consumes a request's tokens of its organisation's quota; returns the error response when the quota is used up.
+     */
     Optional<ErrorResponse> consumeQuota(
             Optional<Organisation> organisation, String service, long tokens, long nowMillis) {
         if (organisation.isEmpty() || tryConsumeQuota(organisation.get().name(), service, tokens, nowMillis)) {
             return Optional.empty();
         }
-        long comeBackMillis = front.quotas().retryAfterMillis(organisation.get().name());
-        return Optional.of(
-                new ErrorResponse(ErrorKind.OVER_QUOTA, Math.max(comeBackMillis, Front.NOT_READY_RETRY_AFTER_MILLIS)));
+        long retryAfterMillis =
+                front.quotas().retryAfterMillis(organisation.get().name());
+        return Optional.of(new ErrorResponse(
+                ErrorKind.OVER_QUOTA, Math.max(retryAfterMillis, Front.NOT_READY_RETRY_AFTER_MILLIS)));
     }
 
     private boolean tryConsumeQuota(String organisation, String service, long tokens, long nowMillis) {
@@ -99,9 +104,9 @@
             Optional<Organisation> organisation,
             String service,
             long tokens,
-            boolean quotaTaken,
+            boolean quotaConsumed,
             long nowMillis) {
-        long allowedMillis =
+        long timeoutMillis =
                 Math.min(route.timeoutMillis(), head.timeoutMillis().orElse(route.timeoutMillis()));
         OptionalInt organisationRank = organisation.map(Organisation::tierRank).orElse(OptionalInt.empty());
         int tierRank = TierRank.combine(organisationRank, route.tierRank());
@@ -111,19 +116,19 @@
                 service,
                 tierRank,
                 tokens,
-                quotaTaken,
-                nowMillis + allowedMillis,
-                nowMillis + QueueTimeouts.queueTimeoutMillis(route.latencyObjectiveMillis(), allowedMillis));
+                quotaConsumed,
+                nowMillis + timeoutMillis,
+                nowMillis + QueueTimeouts.queueTimeoutMillis(route.latencyObjectiveMillis(), timeoutMillis));
     }
 
     private static long quotaTokens(RequestHead head, Optional<Organisation> organisation) {
         if (head.hasTokenCounts()) {
-            return head.promptTokens() + head.answerTokens();
+            return head.promptTokens() + head.maxAnswerTokens();
         }
         return organisation.map(Organisation::defaultRequestTokens).orElse(0L);
     }
 
-    private static Rejected rejected(ErrorKind kind, long comeBackMillis, Optional<Organisation> organisation) {
-        return new Rejected(new ErrorResponse(kind, comeBackMillis), organisation);
+    private static Rejected rejected(ErrorKind kind, long retryAfterMillis, Optional<Organisation> organisation) {
+        return new Rejected(new ErrorResponse(kind, retryAfterMillis), organisation);
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerAcceptor.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerAcceptor.java
@@ -17,9 +17,9 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 
-/** Accepts the connections of callers. */
+/** Accepts connections from callers and sets up their pipelines. */
 final class CallerAcceptor {
-    /** Answer bytes queued for a slow caller before its target is read no further. */
+    /** Limits on the bytes queued for a slow caller; above the high one, reading from the target is suspended. */
     private static final WriteBufferWaterMark WRITE_BUFFER_LIMITS = new WriteBufferWaterMark(32 * 1_024, 128 * 1_024);
 
     private final Front front;
@@ -33,7 +33,7 @@
         this.port = port;
     }
 
-    /** Begins to accept connections, those that wait already first; the action runs once it does. */
+    /** Starts accepting connections, first those already in the backlog; runs the action once accepting. */
     void start(Runnable whenAccepting) {
         new ServerBootstrap()
                 .group(loop)
@@ -62,7 +62,7 @@
                 });
     }
 
-    /** Takes no more connections. */
+    /** Stops accepting connections. */
     void stop() {
         if (server != null) {
             server.close();
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Tells a connection that bytes came, so that an incomplete head is noticed. */
+    /** Reports received bytes to the connection, so that it can time out an incomplete head. */
     private static final class ReceiveMonitor extends ChannelInboundHandlerAdapter {
         private final CallerConnection connection;
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Refuses a message with both a length and chunks, in which a second request could hide. */
+    /** Rejects a message with both a content length and chunked encoding, which could smuggle a second request. */
     private static final class StrictDecoder extends HttpRequestDecoder {
         StrictDecoder(int maxHeaderBytes) {
             super(new HttpDecoderConfig()
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerConnection.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerConnection.java
@@ -35,13 +35,13 @@
 import org.whinwharf.errors.ErrorKind;
 
 /**
- * One connection of a caller: requests one after another, each answered before the next is looked at.
+ * One connection of a caller. Handles its requests in order, each only after the response to the one before.
  *
- * <p>What is not a well-formed request is answered and the connection closed, since nobody can tell where the next
- * request would begin; passing a doubtful head on would let one caller hide a request inside another.
+ * <p>A malformed request is rejected and the connection closed, since the start of the next request cannot be
+ * determined. Forwarding an ambiguous head would let a caller smuggle one request inside another.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
-    /** Messages of later requests kept while one is under way; more than any proper caller sends ahead. */
+    /** Number of queued messages of pipelined requests above which reading stops; well-behaved callers send fewer. */
     private static final int MAX_QUEUED_MESSAGES = 64;
 
     private static final String CALLER_CLOSED = "caller-closed";
@@ -71,20 +71,20 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        HttpObject part = (HttpObject) message;
+        HttpObject httpObject = (HttpObject) message;
         if (closing) {
-            ReferenceCountUtil.release(part);
+            ReferenceCountUtil.release(httpObject);
         } else if (exchange != null) {
-            queuedMessages.add(part);
+            queuedMessages.add(httpObject);
             if (queuedMessages.size() > MAX_QUEUED_MESSAGES) {
                 channel.config().setAutoRead(false);
             }
         } else {
-            process(part);
+            process(httpObject);
         }
     }
 
-    /** Notes bytes of a head that is not complete yet. */
+    /** Records received bytes, to time out a request that stays incomplete. */
     void bytesReceived() {
         if (request == null && exchange == null && !receivingHead) {
             receivingHead = true;
@@ -94,16 +94,16 @@
         }
     }
 
-    private void process(HttpObject part) {
-        if (part.decoderResult().isFailure()) {
-            ReferenceCountUtil.release(part);
-            rejectMalformed(part.decoderResult().cause());
+    private void process(HttpObject httpObject) {
+        if (httpObject.decoderResult().isFailure()) {
+            ReferenceCountUtil.release(httpObject);
+            rejectMalformed(httpObject.decoderResult().cause());
             return;
         }
-        if (part instanceof HttpRequest head) {
+        if (httpObject instanceof HttpRequest head) {
             startRequest(head);
         }
-        if (part instanceof HttpContent content) {
+        if (httpObject instanceof HttpContent content) {
             if (closing || request == null) {
                 content.release();
             } else {
@@ -114,9 +114,9 @@
 
     private void startRequest(HttpRequest head) {
         receivingHead = false;
-        String fault = validateHead(head);
-        if (fault != null) {
-            reject(ErrorKind.MALFORMED, fault);
+        String invalidPart = validateHead(head);
+        if (invalidPart != null) {
+            reject(ErrorKind.MALFORMED, invalidPart);
             return;
         }
         if (HttpUtil.getContentLength(head, 0L) > front.limits().maxBodyBytes()) {
@@ -132,11 +132,13 @@
         }
     }
 
+    /** Returns the invalid part of a head; null when the head is valid. */
     private static String validateHead(HttpRequest head) {
         HttpHeaders headers = head.headers();
-        List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        if (codings.size() > 1
-                || codings.size() == 1 && !"chunked".equals(codings.get(0).toLowerCase(Locale.ROOT))) {
+        List<String> transferEncodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        if (transferEncodings.size() > 1
+                || transferEncodings.size() == 1
+                        && !"chunked".equals(transferEncodings.get(0).toLowerCase(Locale.ROOT))) {
             return "transfer encoding";
         }
         if (headers.getAll(HttpHeaderNames.CONTENT_LENGTH).size() > 1) {
@@ -161,13 +163,13 @@
         body.addComponent(true, content.content());
         if (content instanceof LastHttpContent) {
             HttpRequest head = request;
-            CompositeByteBuf whole = body;
+            CompositeByteBuf requestBody = body;
             request = null;
             body = null;
             closeAfterResponse = !HttpUtil.isKeepAlive(head);
-            CallerExchange next = new CallerExchange(front, this, head, whole);
+            CallerExchange next = new CallerExchange(front, this, head, requestBody);
             exchange = next;
-            // Not from within the read: what follows looks whether the caller has closed the connection since.
+            // Not started within the read, because the start checks whether the caller has closed the connection.
             channel.eventLoop().execute(() -> start(next));
         }
     }
@@ -194,23 +196,23 @@
         write(toHttpResponse(new ErrorResponse(kind, 0)), true);
     }
 
-    /** Answers the request under way with a failure of this process. */
-    void respond(ErrorResponse refusal) {
-        write(toHttpResponse(refusal), false);
+    /** Responds to the current request with an error of this process. */
+    void respond(ErrorResponse error) {
+        write(toHttpResponse(error), false);
     }
 
-    /** Answers the request under way with a whole answer of a target. */
+    /** Responds to the current request with a complete response of a target. */
     void respond(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
-        FullHttpResponse full = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
-        full.headers().set(headers);
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
+        response.headers().set(headers);
         boolean headOnly = exchange != null && exchange.method().equals(HttpMethod.HEAD);
         if (!headOnly && status.code() != 204 && status.code() != 304) {
-            full.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
         }
-        write(full, false);
+        write(response, false);
     }
 
-    /** Begins an answer that goes on piece by piece. */
+    /** Starts a chunked response. */
     void startStream(HttpResponseStatus status, HttpHeaders headers) {
         DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, status);
         head.headers().set(headers).remove(HttpHeaderNames.CONTENT_LENGTH);
@@ -222,17 +224,17 @@
         channel.writeAndFlush(head);
     }
 
-    /** Passes on a piece of the answer. */
-    void writeChunk(ByteBuf piece) {
-        channel.writeAndFlush(new DefaultHttpContent(piece));
+    /** Writes a chunk of the response. */
+    void writeChunk(ByteBuf chunk) {
+        channel.writeAndFlush(new DefaultHttpContent(chunk));
     }
 
-    /** Ends an answer that went on piece by piece. */
+    /** Completes a chunked response. */
     void endStream() {
         channel.writeAndFlush(new DefaultLastHttpContent()).addListener(done -> responseWritten());
     }
 
-    /** Ends the connection in the middle of an answer, so that it cannot look whole. */
+    /** Closes the connection in the middle of a response, so that the response does not look complete. */
     void abort() {
         closing = true;
         exchange = null;
@@ -240,10 +242,11 @@
     }
 
     /**
-     * Reads what has arrived and tells whether the caller is still there.
+     * Reads the pending input and returns whether the caller is still connected.
      *
-     * <p>On a thread that is late, a close waits in the socket while what came before it is worked on; a request sent
-     * on meanwhile would run for nobody. Must not be called from within a read of this connection.
+     * <p>On a delayed event loop, a close stays unread in the socket while earlier events are processed. A request
+     * dispatched in the meantime would run although its caller is gone. Must not be called within a read of this
+     * connection.
      */
     boolean isCallerConnected() {
         if (channel.isActive()
@@ -254,7 +257,7 @@
         return channel.isActive();
     }
 
-    /** Tells whether the caller reads as fast as the answer comes. */
+    /** Returns whether the outbound buffer is below its limit, so that more of the response can be written. */
     boolean writable() {
         return channel.isWritable();
     }
@@ -266,28 +269,29 @@
         }
     }
 
-    private FullHttpResponse toHttpResponse(ErrorResponse refusal) {
-        FullHttpResponse full = new DefaultFullHttpResponse(
+    private FullHttpResponse toHttpResponse(ErrorResponse error) {
+        FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(refusal.kind().httpStatus()),
-                Unpooled.copiedBuffer("{\"error\":\"" + refusal.kind().wireName() + "\"}", CharsetUtil.US_ASCII));
-        full.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-        full.headers().set(HttpHeaderNames.CONTENT_LENGTH, full.content().readableBytes());
-        if (refusal.retryAfterMillis() > 0) {
-            full.headers()
+                HttpResponseStatus.valueOf(error.kind().httpStatus()),
+                Unpooled.copiedBuffer("{\"error\":\"" + error.kind().wireName() + "\"}", CharsetUtil.US_ASCII));
+        response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+        response.headers()
+                .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+        if (error.retryAfterMillis() > 0) {
+            response.headers()
                     .set(
                             HttpHeaderNames.RETRY_AFTER,
-                            String.format(Locale.ROOT, "%.3f", refusal.retryAfterMillis() / 1e3));
+                            String.format(Locale.ROOT, "%.3f", error.retryAfterMillis() / 1e3));
         }
-        return full;
+        return response;
     }
 
-    private void write(FullHttpResponse full, boolean close) {
+    private void write(FullHttpResponse response, boolean close) {
         closing = closing || close || closeAfterResponse || front.leaving();
         if (closing) {
-            full.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        channel.writeAndFlush(full).addListener(done -> responseWritten());
+        channel.writeAndFlush(response).addListener(done -> responseWritten());
     }
 
     private void responseWritten() {
@@ -303,22 +307,22 @@
         }
     }
 
-    /** Closes a connection that has been idle, or whose request has been incomplete, for too long. */
+    /** Rejects a request that has stayed incomplete for too long, and closes a connection that is idle for too long. */
     void checkTimeouts(long nowMillis) {
         if (exchange != null || closing) {
             return;
         }
-        long quietMillis = nowMillis - lastActivityMillis;
+        long idleMillis = nowMillis - lastActivityMillis;
         boolean incomplete = receivingHead || request != null;
-        if (incomplete && quietMillis > front.limits().headerTimeoutMillis()) {
+        if (incomplete && idleMillis > front.limits().headerTimeoutMillis()) {
             reject(ErrorKind.CALLER_TOO_SLOW, "incomplete request");
-        } else if (!incomplete && quietMillis > front.limits().idleTimeoutMillis()) {
+        } else if (!incomplete && idleMillis > front.limits().idleTimeoutMillis()) {
             closing = true;
             channel.close();
         }
     }
 
-    /** Closes the connection if no request is under way on it. */
+    /** Closes the connection if no request is in progress. */
     void closeIfIdle() {
         if (exchange == null && request == null && !receivingHead && !closing) {
             closing = true;
@@ -337,9 +341,9 @@
             body = null;
         }
         if (exchange != null) {
-            CallerExchange left = exchange;
+            CallerExchange abandoned = exchange;
             exchange = null;
-            left.callerDisconnected(closeCause);
+            abandoned.callerDisconnected(closeCause);
         }
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
@@ -23,21 +23,25 @@
 import org.whinwharf.wire.fleet.RunEvent;
 
 /**
- * One request of a caller, from its last byte to the last byte of its answer.
+ * One request of a caller, from its last byte to the last byte of the response.
  *
- * <p>Once a byte has left for a target, the request has perhaps run: from then on it is answered with the target's
- * answer or with a failure that promises nothing, never with a refusal that says that it has not run.
+ * <p>Once a byte was sent to a target, the target may have executed the request. Unless the target reports that it did
+ * not, the caller then gets the target's response or an error that leaves the execution open, never a rejection stating
+ * that the request was not executed.
  */
 final class CallerExchange implements QueuedRequest, PlacementListener, TargetListener {
-    /** Time beyond its patience that a request leaves a coordinator to refuse it; then it is refused here. */
+    /**
+     * Time after its queue timeout for which a request awaits a rejection by the coordinator before it is rejected
+     * here.
+     */
     private static final long COORDINATOR_GRACE_MILLIS = 150;
-    /** Time left below which sending is pointless: a target needs about this for its shortest answer. */
+    /** Minimum time until the deadline for a dispatch: a target needs about this long for its shortest response. */
     private static final long MIN_REMAINING_MILLIS = 15;
 
     private enum Stage {
-        /** In the line of this process. */
+        /** Queued in this process. */
         QUEUED,
-        /** A coordinator was asked for a target. */
+        /** A placement request was sent to a coordinator. */
         AWAITING_PLACEMENT,
         CONNECTING,
         SENT,
@@ -87,7 +91,7 @@
         return head;
     }
 
-    /** Reads the request, has it let in, and sends it or lets it wait. */
+    /** Parses the request, applies admission control, and dispatches or queues the request if admitted. */
     void start() {
         front.exchangeBegan(this);
         try {
@@ -97,11 +101,11 @@
             respondWithError(new ErrorResponse(ErrorKind.MALFORMED, 0));
             return;
         }
-        AdmissionControl.Decision result = front.admission().decide(head, arrivedAtMillis);
-        if (result instanceof AdmissionControl.Rejected refused) {
-            organisation = refused.organisation();
-            respondWithError(refused.error());
-        } else if (result instanceof AdmissionControl.Admitted admitted) {
+        AdmissionControl.Decision decision = front.admission().decide(head, arrivedAtMillis);
+        if (decision instanceof AdmissionControl.Rejected rejected) {
+            organisation = rejected.organisation();
+            respondWithError(rejected.error());
+        } else if (decision instanceof AdmissionControl.Admitted admitted) {
             start(admitted);
         }
     }
@@ -144,7 +148,7 @@
                 .dataCentre(front.dataCentre())
                 .model(head.model())
                 .promptTokens(head.promptTokens())
-                .maxAnswerTokens(head.answerTokens())
+                .maxAnswerTokens(head.maxAnswerTokens())
                 .remainingMillis(deadlineAtMillis - nowMillis)
                 .promptParts(head.promptParts())
                 .tierRank(tierRank)
@@ -165,8 +169,8 @@
     }
 
     @Override
-    public void ticketIssued(PlacementTicket asked) {
-        ticket = asked;
+    public void ticketIssued(PlacementTicket issued) {
+        ticket = issued;
     }
 
     @Override
@@ -180,23 +184,23 @@
     }
 
     @Override
-    public void shed(RejectionDetails grounds) {
-        rejectUnplaced(grounds.retryAfterMillis(), Optional.of(grounds));
+    public void shed(RejectionDetails details) {
+        rejectUnplaced(details.retryAfterMillis(), Optional.of(details));
     }
 
     @Override
-    public void overQuota(RejectionDetails grounds) {
-        long comeBackMillis = Math.max(grounds.retryAfterMillis(), Front.NOT_READY_RETRY_AFTER_MILLIS);
-        respondWithError(new ErrorResponse(ErrorKind.OVER_QUOTA, comeBackMillis, Optional.of(grounds)));
+    public void overQuota(RejectionDetails details) {
+        long retryAfterMillis = Math.max(details.retryAfterMillis(), Front.NOT_READY_RETRY_AFTER_MILLIS);
+        respondWithError(new ErrorResponse(ErrorKind.OVER_QUOTA, retryAfterMillis, Optional.of(details)));
     }
 
     @Override
     public void coordinatorUnavailable() {
-        Optional<ErrorResponse> refusal = quotaConsumed
+        Optional<ErrorResponse> quotaError = quotaConsumed
                 ? Optional.empty()
                 : front.admission().consumeQuota(organisation, service, quotaTokens, front.nowMillis());
-        if (refusal.isPresent()) {
-            respondWithError(refusal.get());
+        if (quotaError.isPresent()) {
+            respondWithError(quotaError.get());
             return;
         }
         quotaConsumed = true;
@@ -248,9 +252,10 @@
         rejectUnplaced(front.localQueues().retryAfterMillis(service), Optional.empty());
     }
 
-    private void rejectUnplaced(long comeBackMillis, Optional<RejectionDetails> grounds) {
+    private void rejectUnplaced(long retryAfterMillis, Optional<RejectionDetails> details) {
         ErrorKind kind = triedTargetIds.isEmpty() ? ErrorKind.SHED : ErrorKind.TARGET_REFUSED;
-        respondWithError(new ErrorResponse(mayHaveExecuted() ? ErrorKind.TARGET_LOST : kind, comeBackMillis, grounds));
+        respondWithError(
+                new ErrorResponse(mayHaveExecuted() ? ErrorKind.TARGET_LOST : kind, retryAfterMillis, details));
     }
 
     private void connect(Candidate chosen, PlacementTicket placement, long nowMillis) {
@@ -266,7 +271,7 @@
         long nowMillis = front.nowMillis();
         TargetRun current = targetRun;
         if (stage != Stage.CONNECTING) {
-            acquired.ifPresent(unused -> current.entry().pool().release(unused));
+            acquired.ifPresent(idle -> current.entry().pool().release(idle));
             return;
         }
         if (acquired.isEmpty()) {
@@ -282,7 +287,7 @@
             return;
         }
         if (!caller.isCallerConnected()) {
-            // The connection's end, which is about to be told, ends this exchange too.
+            // The pending notification that the caller's connection closed ends this exchange too.
             current.entry().pool().release(acquired.get());
             return;
         }
@@ -299,28 +304,28 @@
         targetRun.sent(nowMillis);
         silenceWatch = new SilenceWatch(
                 route.latencyObjectiveMillis(), targetRun.candidate().firstEventMillis(), nowMillis);
-        Optional<String> resumeAfter =
+        Optional<String> lastEventId =
                 responseAssembler.streamStarted() ? responseAssembler.lastEventId() : head.lastEventId();
         DispatchParameters dispatch = new DispatchParameters(
-                target.id(), organisation.map(Organisation::name), deadlineAtMillis - nowMillis, resumeAfter);
+                target.id(), organisation.map(Organisation::name), deadlineAtMillis - nowMillis, lastEventId);
         front.metrics().recordQueueTime(route.kind(), nowMillis - arrivedAtMillis);
         FrontLog.sent(this, target, nowMillis - arrivedAtMillis, targetRun.candidate());
         connection.send(front.dialect().targetRequest(request, dispatch), body, head.attemptId(), this);
     }
 
     @Override
-    public void head(HttpResponse response, ResponseHead read) {
+    public void head(HttpResponse response, ResponseHead responseHead) {
         recordBytesReceived();
-        responseAssembler.head(response, read);
-        if (read.status() / 100 == 2) {
+        responseAssembler.head(response, responseHead);
+        if (responseHead.status() / 100 == 2) {
             targetRun.succeeded();
         }
     }
 
     @Override
-    public void content(ByteBuf piece) {
+    public void content(ByteBuf chunk) {
         recordBytesReceived();
-        if (responseAssembler.content(piece) && !caller.writable()) {
+        if (responseAssembler.content(chunk) && !caller.writable()) {
             connection.setReading(false);
         }
     }
@@ -367,7 +372,7 @@
             front.targetAnswered(entry);
             targetRun.end(
                     RunEvent.RUN_ANSWERED,
-                    dispatchCount == 1 ? head.answerTokens() : 0,
+                    dispatchCount == 1 ? head.maxAnswerTokens() : 0,
                     silenceWatch.lastByteAtMillis());
             endRun(RunEvent.RUN_ANSWERED);
             deliver();
@@ -385,17 +390,17 @@
         place(nowMillis);
     }
 
-    /** Tells whether any target may have run the request, or may yet. */
+    /** Returns whether any target may have executed the request or may still execute it. */
     private boolean mayHaveExecuted() {
         return possibleExecutions > 0;
     }
 
     private void deliver() {
         front.metrics().answered();
-        boolean whole = responseAssembler.endsAtEventBoundary();
-        FrontLog.ended(this, entry(), whole ? "answered" : "broken-off", responseAssembler.status(), ageMillis());
+        boolean complete = responseAssembler.endsAtEventBoundary();
+        FrontLog.ended(this, entry(), complete ? "answered" : "broken-off", responseAssembler.status(), ageMillis());
         stage = Stage.ENDED;
-        if (whole) {
+        if (complete) {
             responseAssembler.deliver();
             end();
         } else {
@@ -404,7 +409,7 @@
         }
     }
 
-    /** Ends the caller's connection, since an answer that began can't be completed. */
+    /** Closes the caller's connection, because a response that has started cannot be completed. */
     private void abortResponse(TruncationCause cause) {
         front.metrics().streamTruncated(cause);
         caller.abort();
@@ -446,9 +451,9 @@
 
     private void retryElsewhereOrReject(long nowMillis) {
         responseAssembler.discardIncomplete();
-        boolean budget = dispatchCount < route.maxAttempts()
+        boolean mayRetry = dispatchCount < route.maxAttempts()
                 && front.retryBudget(service).tryRetry(nowMillis, front.retryAllowance());
-        if (budget && nowMillis < queueTimeoutAtMillis) {
+        if (mayRetry && nowMillis < queueTimeoutAtMillis) {
             place(nowMillis);
         } else if (responseAssembler.streamStarted()) {
             FrontLog.ended(this, entry(), "broken-off", responseAssembler.status(), ageMillis());
@@ -471,7 +476,7 @@
         }
     }
 
-    /** Looks whether time has run out or the target has fallen silent. */
+    /** Checks the deadline, the queue timeout and whether the target has fallen silent. */
     void checkTimeouts(long nowMillis) {
         if (stage == Stage.ENDED || route == null) {
             return;
@@ -491,8 +496,8 @@
                 && !targetRun.stalled()) {
             front.targetFailed(targetRun.entry(), TargetFailure.SILENT);
         }
-        boolean stuck = silenceWatch.requestStalled(responseAssembler.streamStarted(), nowMillis);
-        if (stuck
+        boolean stalled = silenceWatch.requestStalled(responseAssembler.streamStarted(), nowMillis);
+        if (stalled
                 && route.idempotent()
                 && dispatchCount < route.maxAttempts()
                 && front.hasUntriedTarget(service, triedTargetIds)) {
@@ -514,19 +519,19 @@
             abortResponse(TruncationCause.TIMED_OUT);
             return;
         }
-        boolean sent = mayHaveExecuted();
+        boolean possiblyExecuted = mayHaveExecuted();
         cancelRun();
         respondWithError(
-                sent
+                possiblyExecuted
                         ? new ErrorResponse(ErrorKind.DEADLINE_RUNNING, 0)
                         : new ErrorResponse(
                                 ErrorKind.HOPELESS, front.localQueues().retryAfterMillis(service)));
     }
 
     /**
-     * Stops all work, since the caller is gone.
+     * Cancels the request, because its caller disconnected.
      *
-     * @param closeCause why its connection closed
+     * @param closeCause reason why the caller's connection closed
      */
     void callerDisconnected(String closeCause) {
         if (stage == Stage.ENDED) {
@@ -582,7 +587,7 @@
         front.exchangeEnded(this);
     }
 
-    /** Returns the time from the last sending to the first byte of its answer, if that came. */
+    /** Returns the time from the last dispatch to the first byte of its response; empty before that byte. */
     OptionalLong firstByteMillis() {
         return targetRun != null && targetRun.firstByteReceived()
                 ? OptionalLong.of(targetRun.firstByteMillis())
@@ -593,22 +598,22 @@
         return service;
     }
 
-    /** Returns what the request uses of its organisation's quota. */
+    /** Returns the tokens that the request consumes of its organisation's quota. */
     long quotaTokens() {
         return quotaTokens;
     }
 
-    /** Returns who decided on its placement; empty when that was this process. */
+    /** Returns the name of the coordinator that decided the placement; empty when this process decided. */
     String coordinatorName() {
         return ticket == null ? "" : ticket.coordinatorName();
     }
 
-    /** Returns what was known when the request arrived. */
+    /** Returns the catalog freshness at the arrival of the request. */
     CatalogFreshness catalogFreshness() {
         return catalogFreshness;
     }
 
-    /** Returns the time since the request arrived. */
+    /** Returns the time in milliseconds since the request arrived. */
     long ageMillis() {
         return front.nowMillis() - arrivedAtMillis;
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerPort.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerPort.java
@@ -6,13 +6,14 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * The port of callers, open from the first moment of a process.
+ * The listening socket for callers, opened at the very start of the process.
  *
- * <p>A start takes half a second. After a loss of all processes a caller that finds every port closed fails at once; in
- * the queue of an open port its connection waits until the process serves, which is mostly well within its objective.
+ * <p>A start takes half a second. When all processes have failed, a caller that finds every port closed fails at once.
+ * In the backlog of an open port its connection waits until the process serves, which is usually well within the
+ * caller's latency objective.
  */
 public final class CallerPort {
-    /** Connections that wait to be accepted; a full queue costs a caller seconds. */
+    /** Maximum number of connections waiting to be accepted; a full backlog delays a caller by seconds. */
     private static final int MAX_BACKLOG = 1_024;
 
     private final ServerSocketChannel channel;
@@ -22,11 +23,11 @@
     }
 
     /**
-     * Opens the port; nothing is accepted yet.
+     * Opens the port without accepting connections yet.
      *
-     * @param address IP number and port, joined by a colon
+     * @param address IP address and port, separated by a colon
      * @return the open port
-     * @throws IOException when it cannot be opened
+     * @throws IOException if the port cannot be opened
      */
     public static CallerPort open(String address) throws IOException {
         int colon = address.indexOf(':');
@@ -46,12 +47,12 @@
         return channel;
     }
 
-    /** Closes the port; connections that wait are reset, and their callers go elsewhere. */
+    /** Closes the port. Waiting connections are reset, and their callers try another front. */
     void close() {
         try {
             channel.close();
         } catch (IOException e) {
-            FrontLog.taskFailed("close the port of callers", e);
+            FrontLog.taskFailed("close the caller port", e);
         }
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/DispatchParameters.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/DispatchParameters.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * How a request is sent to one target.
+ * Parameters with which a request is dispatched to one target.
  *
- * @param targetId id that the target must have, so that another one at a reused address refuses it
+ * @param targetId id of the intended target, by which another target at a reused address rejects the request
  * @param organisation name of the caller's organisation; empty on public routes
- * @param remainingMillis time left until the target must stop work
- * @param lastEventId id of the last event that the caller has; empty for a new run
+ * @param remainingMillis time in milliseconds after which the target must stop working on the request
+ * @param lastEventId id of the last event that the caller received; empty for a new stream
  */
 public record DispatchParameters(
         String targetId, Optional<String> organisation, long remainingMillis, Optional<String> lastEventId) {}
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ErrorResponse.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ErrorResponse.java
@@ -5,14 +5,14 @@
 import org.whinwharf.traffic.coordination.RejectionDetails;
 
 /**
- * A failure that a caller is told.
+ * An error response to a caller.
  *
- * @param kind what went wrong; it fixes the status and whether the request may have run
- * @param retryAfterMillis when to come back, in milliseconds; 0 for no advice
- * @param grounds what a coordinator based it on; empty when none decided
+ * @param kind kind of the error; determines the HTTP status and whether the request may have been executed
+ * @param retryAfterMillis Retry-After delay in milliseconds; 0 when the response carries none
+ * @param rejectionDetails state on which the coordinator based a rejection; empty when no coordinator decided
  */
-record ErrorResponse(ErrorKind kind, long retryAfterMillis, Optional<RejectionDetails> grounds) {
-    ErrorResponse(ErrorKind kind, long comeBackMillis) {
-        this(kind, comeBackMillis, Optional.empty());
+record ErrorResponse(ErrorKind kind, long retryAfterMillis, Optional<RejectionDetails> rejectionDetails) {
+    ErrorResponse(ErrorKind kind, long retryAfterMillis) {
+        this(kind, retryAfterMillis, Optional.empty());
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/EventStreamFramer.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/EventStreamFramer.java
@@ -6,10 +6,10 @@
 import java.util.Optional;
 
 /**
- * Cuts an event stream at whole events, so that it can go on at another target after a break.
+ * Splits an event stream at event boundaries, so that another target can resume it after a failure.
  *
- * <p>A target may stop in the middle of an event. If the half event were passed on, the caller would read two runs
- * joined into one event; so a piece is held back until the empty line that ends its event.
+ * <p>A target may fail in the middle of an event. If the partial event were forwarded, the caller would read parts of
+ * two runs as one event. The framer therefore holds data back until the empty line that ends its event.
  */
 final class EventStreamFramer {
     private static final String ID_FIELD = "id:";
@@ -17,50 +17,52 @@
     private ByteBuf partialEvent = Unpooled.EMPTY_BUFFER;
     private Optional<String> lastEventId = Optional.empty();
 
-    /** Takes a piece and returns the whole events that are ready to go; the result is the caller's to release. */
-    ByteBuf append(ByteBuf piece) {
-        ByteBuf all = partialEvent.isReadable() ? Unpooled.wrappedBuffer(partialEvent, piece) : piece;
-        int end = lastEventEnd(all);
-        if (end == all.readableBytes()) {
-            updateLastEventId(all);
+    /**
+     * Appends a chunk and returns the complete events received so far; the caller of the method releases the result.
+     */
+    ByteBuf append(ByteBuf chunk) {
+        ByteBuf data = partialEvent.isReadable() ? Unpooled.wrappedBuffer(partialEvent, chunk) : chunk;
+        int end = lastEventEnd(data);
+        if (end == data.readableBytes()) {
+            updateLastEventId(data);
             partialEvent = Unpooled.EMPTY_BUFFER;
-            return all;
+            return data;
         }
         if (end < 0) {
-            partialEvent = all;
+            partialEvent = data;
             return Unpooled.EMPTY_BUFFER;
         }
-        ByteBuf whole = all.readRetainedSlice(end);
-        updateLastEventId(whole);
-        partialEvent = all.readBytes(all.readableBytes());
-        all.release();
-        return whole;
+        ByteBuf completeEvents = data.readRetainedSlice(end);
+        updateLastEventId(completeEvents);
+        partialEvent = data.readBytes(data.readableBytes());
+        data.release();
+        return completeEvents;
     }
 
-    /** Returns the id of the last whole event that was passed on. */
+    /** Returns the last id among the complete events returned so far; empty before the first. */
     Optional<String> lastEventId() {
         return lastEventId;
     }
 
-    /** Tells whether half an event is held back. */
+    /** Returns whether a partial event is held back. */
     boolean hasPartialEvent() {
         return partialEvent.isReadable();
     }
 
-    /** Drops half an event that was held back. */
+    /** Discards a partial event that is held back. */
     void discardPartialEvent() {
         partialEvent.release();
         partialEvent = Unpooled.EMPTY_BUFFER;
     }
 
-    private static int lastEventEnd(ByteBuf all) {
-        int start = all.readerIndex();
-        for (int i = all.writerIndex() - 1; i > start; i--) {
-            if (all.getByte(i) != '\n') {
+    private static int lastEventEnd(ByteBuf data) {
+        int start = data.readerIndex();
+        for (int i = data.writerIndex() - 1; i > start; i--) {
+            if (data.getByte(i) != '\n') {
                 continue;
             }
-            byte before = all.getByte(i - 1);
-            boolean blank = before == '\n' || before == '\r' && i - 2 >= start && all.getByte(i - 2) == '\n';
+            byte previous = data.getByte(i - 1);
+            boolean blank = previous == '\n' || previous == '\r' && i - 2 >= start && data.getByte(i - 2) == '\n';
             if (blank) {
                 return i + 1 - start;
             }
@@ -68,15 +70,15 @@
         return -1;
     }
 
-    private void updateLastEventId(ByteBuf whole) {
-        String text = whole.toString(StandardCharsets.UTF_8);
+    private void updateLastEventId(ByteBuf completeEvents) {
+        String text = completeEvents.toString(StandardCharsets.UTF_8);
         int lineBreak = text.lastIndexOf("\n" + ID_FIELD);
         if (lineBreak < 0 && !text.startsWith(ID_FIELD)) {
             return;
         }
-        int at = lineBreak + 1;
-        int end = text.indexOf('\n', at);
-        lastEventId = Optional.of(text.substring(at + ID_FIELD.length(), end < 0 ? text.length() : end)
+        int fieldStart = lineBreak + 1;
+        int end = text.indexOf('\n', fieldStart);
+        lastEventId = Optional.of(text.substring(fieldStart + ID_FIELD.length(), end < 0 ? text.length() : end)
                 .trim());
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
@@ -32,7 +32,7 @@
                 .with(EventField.REQUEST, exchange.head().attemptId())
                 .with(EventField.TARGET, target.id())
                 .with(EventField.TIER_RANK, exchange.tierRank())
-                .with(EventField.ANSWER_TOKENS, exchange.head().answerTokens())
+                .with(EventField.ANSWER_TOKENS, exchange.head().maxAnswerTokens())
                 .with(EventField.WAITED_MILLIS, waitedMillis)
                 .with(EventField.OCCUPANCY, Math.round(candidate.occupancy() * 100) / 100.0)
                 .with(EventField.PREFILL_TOKENS, candidate.uncachedTokens())
@@ -84,7 +84,7 @@
         if (response.kind() == ErrorKind.OVER_QUOTA) {
             event.with(EventField.QUOTA_TOKENS, exchange.quotaTokens());
         }
-        response.grounds().ifPresent(details -> addRejectionDetails(event, exchange, details));
+        response.rejectionDetails().ifPresent(details -> addRejectionDetails(event, exchange, details));
         event.call();
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/HttpDialect.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/HttpDialect.java
@@ -6,57 +6,61 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.OptionalLong;
 
-/** The names that callers and targets use in HTTP heads; implemented by the adapter of a platform, decides nothing. */
+/**
+ * Translates between HTTP heads and the types of this package, by the header names that callers and targets use.
+ *
+ * <p>Implemented by the adapter of a platform; an implementation makes no scheduling decisions.
+ */
 public interface HttpDialect {
     /**
-     * Reads a caller's request.
+     * Parses the head of a caller's request.
      *
      * @param request head of the request
-     * @return what it says
-     * @throws BadRequestException when the head is malformed
+     * @return the parsed head
+     * @throws BadRequestException if the head is malformed
      */
     RequestHead readRequest(HttpRequest request) throws BadRequestException;
 
     /**
-     * Makes the head that a target gets.
+     * Creates the head of the request to a target.
      *
-     * @param request head as the caller sent it
-     * @param dispatch how it is sent
-     * @return head without framing of the body
+     * @param request head as received from the caller
+     * @param dispatch parameters of the dispatch
+     * @return head without headers for the framing of the body
      */
     HttpRequest targetRequest(HttpRequest request, DispatchParameters dispatch);
 
     /**
-     * Reads the head of a target's answer.
+     * Parses the head of a target's response.
      *
-     * @param response head of the answer
-     * @return what it says
+     * @param response head of the response
+     * @return the parsed head
      */
     ResponseHead readResponse(HttpResponse response);
 
     /**
-     * Returns the headers of a target's answer that go to the caller.
+     * Returns the headers of a target's response that are forwarded to the caller.
      *
-     * @param response head of the answer
-     * @return headers without those that concern one connection
+     * @param response head of the response
+     * @return headers without the hop-by-hop ones
      */
     HttpHeaders callerHeaders(HttpResponse response);
 
     /**
-     * Makes a health check.
+     * Creates a health check request.
      *
      * @param address address of the target
-     * @param path path of its service's health check
+     * @param path path of the health check of the target's service
      * @return the request
      */
     FullHttpRequest healthCheck(String address, String path);
 
     /**
-     * Reads the answer to a health check.
+     * Parses the response to a health check.
      *
-     * @param response head of the answer
-     * @param targetId id of the target that was asked
-     * @return how long the target stays cold, in milliseconds; empty when it is not healthy or is another target
+     * @param response head of the response
+     * @param targetId id of the checked target
+     * @return how long the target stays cold, in milliseconds; empty when it is unhealthy or another target responded
      */
     OptionalLong readHealth(HttpResponse response, String targetId);
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/HttpEndpoint.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/HttpEndpoint.java
@@ -25,42 +25,42 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** A small HTTP server for short questions with short answers: where to connect, whether ready, metrics. */
+/** A small HTTP server for short requests and responses: addresses to connect to, readiness, metrics. */
 public final class HttpEndpoint {
-    /** Most bytes of a question's body; none of them needs one. */
+    /** Maximum size of a request body; no request needs one. */
     private static final int MAX_BODY_BYTES = 4_096;
 
-    /** Answers one question. */
+    /** Handles the requests to an endpoint. */
     @FunctionalInterface
     public interface RequestHandler {
         /**
-         * Answers a question.
+         * Handles a request.
          *
          * @param method HTTP method
          * @param uri path and query
-         * @return the answer
+         * @return the response
          */
         Response handle(String method, String uri);
     }
 
     /**
-     * A whole answer.
+     * A complete response.
      *
      * @param status HTTP status
      * @param contentType media type
-     * @param body the body
-     * @param headers further headers
+     * @param body body, sent in UTF-8
+     * @param headers additional headers
      */
     public record Response(int status, String contentType, String body, Map<String, String> headers) {
         /**
-         * Creates an answer without further headers.
+         * Creates a response without additional headers.
          *
          * @param status HTTP status
          * @param contentType media type
-         * @param body the body
+         * @param body body, sent in UTF-8
          */
-        public Response(int status, String contentType, String text) {
-            this(status, contentType, text, Map.of());
+        public Response(int status, String contentType, String body) {
+            this(status, contentType, body, Map.of());
         }
     }
 
@@ -71,16 +71,16 @@
     /**
      * Creates an endpoint that is not yet bound.
      *
-     * @param loop thread that serves it
-     * @param answerer answers the questions, on that thread
+     * @param loop event loop that serves the endpoint
+     * @param handler handles the requests, on the thread of the event loop
      */
-    public HttpEndpoint(EventLoopGroup loop, RequestHandler answerer) {
+    public HttpEndpoint(EventLoopGroup loop, RequestHandler handler) {
         this.loop = loop;
-        this.handler = answerer;
+        this.handler = handler;
     }
 
     /**
-     * Begins to listen and waits until it does; not to be called on the thread that serves it.
+     * Starts listening and waits until bound; must not be called on the thread of the event loop.
      *
      * @param ip IPv4 address
      * @param port TCP port
@@ -90,11 +90,11 @@
     }
 
     /**
-     * Begins to listen.
+     * Starts listening.
      *
      * @param ip IPv4 address
      * @param port TCP port
-     * @return done once it listens, or cannot
+     * @return completes when the endpoint listens or failed to bind
      */
     public ChannelFuture bind(String ip, int port) {
         ChannelFuture bound = new ServerBootstrap()
@@ -126,21 +126,22 @@
 
     private final class EndpointHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
-        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest question) {
-            Response answer = question.decoderResult().isFailure()
+        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
+            Response response = request.decoderResult().isFailure()
                     ? new Response(400, "text/plain", "")
-                    : handler.handle(question.method().name(), question.uri());
-            FullHttpResponse response = new DefaultFullHttpResponse(
+                    : handler.handle(request.method().name(), request.uri());
+            FullHttpResponse httpResponse = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(answer.status()),
-                    Unpooled.copiedBuffer(answer.body(), StandardCharsets.UTF_8));
-            answer.headers().forEach((name, value) -> response.headers().set(name, value));
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
-            response.headers()
-                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
-            boolean keepAlive = HttpUtil.isKeepAlive(question);
-            HttpUtil.setKeepAlive(response, keepAlive);
-            var written = context.writeAndFlush(response);
+                    HttpResponseStatus.valueOf(response.status()),
+                    Unpooled.copiedBuffer(response.body(), StandardCharsets.UTF_8));
+            response.headers().forEach((name, value) -> httpResponse.headers().set(name, value));
+            httpResponse.headers().set(HttpHeaderNames.CONTENT_TYPE, response.contentType());
+            httpResponse
+                    .headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, httpResponse.content().readableBytes());
+            boolean keepAlive = HttpUtil.isKeepAlive(request);
+            HttpUtil.setKeepAlive(httpResponse, keepAlive);
+            var written = context.writeAndFlush(httpResponse);
             if (!keepAlive) {
                 written.addListener(ChannelFutureListener.CLOSE);
             }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemsAnswerCodec.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemsAnswerCodec.java
@@ -11,18 +11,21 @@
 import java.util.zip.InflaterInputStream;
 import org.whinwharf.wire.fleet.ItemsAnswer;
 
-/** Deflates large answers with published items: a change of one key is a whole configuration, full of like lines. */
+/**
+ * Compresses large answers that carry published items. A change of one key carries a whole configuration, whose lines
+ * are similar and compress well.
+ */
 final class ItemsAnswerCodec {
-    /** Size in bytes from which on an answer is deflated; a smaller one fits into one packet as it is. */
+    /** Minimum size of a compressed answer; a smaller one fits into one packet uncompressed. */
     private static final int COMPRESSION_THRESHOLD_BYTES = 1_400;
 
     private ItemsAnswerCodec() {}
 
     /**
-     * Deflates an answer when it is large.
+     * Compresses an answer whose serialized size reaches the threshold.
      *
      * @param answer the answer
-     * @return what is sent in its place
+     * @return the message to send: the answer itself when small, otherwise a message with its deflated form
      */
     static ItemsAnswer compress(ItemsAnswer answer) {
         if (answer.getSerializedSize() < COMPRESSION_THRESHOLD_BYTES) {
@@ -43,21 +46,21 @@
     }
 
     /**
-     * Returns the answer that a peer packed.
+     * Decompresses a message received from a peer.
      *
-     * @param received what came
-     * @param mostBytes most bytes of an answer
+     * @param received message as received, compressed or not
+     * @param maxBytes maximum size of the decompressed answer
      * @return the answer
-     * @throws IOException when it cannot be read or is too large
+     * @throws IOException if the message is malformed or the answer exceeds {@code maxBytes}
      */
-    static ItemsAnswer decompress(ItemsAnswer received, int mostBytes) throws IOException {
+    static ItemsAnswer decompress(ItemsAnswer received, int maxBytes) throws IOException {
         if (received.getDeflated().isEmpty()) {
             return received;
         }
         try (InputStream in = new InflaterInputStream(received.getDeflated().newInput())) {
-            byte[] bytes = in.readNBytes(mostBytes + 1);
-            if (bytes.length > mostBytes) {
-                throw new InvalidProtocolBufferException("over " + mostBytes + " bytes");
+            byte[] bytes = in.readNBytes(maxBytes + 1);
+            if (bytes.length > maxBytes) {
+                throw new InvalidProtocolBufferException("decompressed answer exceeds " + maxBytes + " bytes");
             }
             return received.toBuilder()
                     .clearDeflated()
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/RequestHead.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/RequestHead.java
@@ -6,49 +6,49 @@
 import org.immutables.value.Value;
 import org.whinwharf.traffic.target.PromptPart;
 
-/** What the head of a caller's request says. */
+/** Parsed head of a caller's request. */
 @Value.Immutable
 public interface RequestHead {
     /**
-     * Returns the id of this attempt.
+     * Returns the id of the attempt.
      *
-     * @return id that the caller chose; a repeat has another
+     * @return id chosen by the caller; a retry has another id
      */
     String attemptId();
 
     /**
-     * Returns the host name that the caller asked for.
+     * Returns the authority that the caller requested.
      *
-     * @return name, with or without port
+     * @return host name, with or without a port
      */
     String authority();
 
     /**
-     * Returns the path without query.
+     * Returns the path without the query.
      *
-     * @return path that begins with a slash
+     * @return path, starting with a slash
      */
     String path();
 
     /**
-     * Returns how long the caller waits.
+     * Returns how long the caller waits for the response.
      *
-     * @return time in milliseconds; empty when it does not say
+     * @return time in milliseconds; empty when the caller does not specify it
      */
     OptionalLong timeoutMillis();
 
     /**
-     * Returns the key that the caller shows.
+     * Returns the API key of the caller.
      *
-     * @return key; a secret, never logged
+     * @return key; a secret that is never logged
      */
     @Value.Redacted
     Optional<String> apiKey();
 
     /**
-     * Returns the model that the request needs.
+     * Returns the model that the request requires.
      *
-     * @return name; empty for plain services
+     * @return name of the model; empty for plain services
      */
     String model();
 
@@ -60,14 +60,14 @@
     long promptTokens();
 
     /**
-     * Returns the bound on the answer's length.
+     * Returns the maximum length of the response.
      *
      * @return tokens; 0 for plain services
      */
-    long answerTokens();
+    long maxAnswerTokens();
 
     /**
-     * Tells whether the request names its token counts.
+     * Returns whether the request specifies its token counts.
      *
      * @return true when it does
      */
@@ -76,14 +76,14 @@
     /**
      * Returns the parts of the prompt.
      *
-     * @return parts, in order; empty when the caller names none
+     * @return parts, in order; empty when the caller specifies none
      */
     List<PromptPart> promptParts();
 
     /**
-     * Returns the event after which the caller resumes a stream.
+     * Returns the id of the event after which the caller resumes a stream.
      *
-     * @return id of the last event it has; empty for a new stream
+     * @return id of the last event that the caller received; empty for a new stream
      */
     Optional<String> lastEventId();
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseAssembler.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseAssembler.java
@@ -9,10 +9,10 @@
 import org.whinwharf.traffic.catalog.RouteKind;
 
 /**
- * Makes one answer for a caller out of what one target, or several after another, send.
+ * Assembles the response to a caller from the responses of one or several successive targets.
  *
- * <p>Streams are passed on as they come; anything else is collected first, so that half an answer can still be fetched
- * elsewhere and never goes out under a success.
+ * <p>Streams are forwarded as they arrive. Any other response is buffered whole before it is forwarded, so that a
+ * truncated one can be fetched from another target and never reaches the caller under a success status.
  */
 final class ResponseAssembler {
     private final Route route;
@@ -31,13 +31,13 @@
         this.dialect = dialect;
     }
 
-    /** Takes the head of a target's answer. */
-    void head(HttpResponse response, ResponseHead read) {
-        head = read;
+    /** Handles the head of a target's response. */
+    void head(HttpResponse response, ResponseHead responseHead) {
+        head = responseHead;
         if (notExecuted()) {
             return;
         }
-        boolean stream = route.kind() == RouteKind.STREAMING && success() && read.signed();
+        boolean stream = route.kind() == RouteKind.STREAMING && success() && responseHead.signed();
         if (!streamStarted) {
             callerResponse = response;
         }
@@ -49,17 +49,17 @@
         }
     }
 
-    /** Takes a piece of the body; returns true when something went to the caller. */
-    boolean content(ByteBuf piece) {
+    /** Handles a chunk of the body; returns true when data was written to the caller. */
+    boolean content(ByteBuf chunk) {
         if (bufferedBody != null) {
-            bufferBody(piece);
+            bufferBody(chunk);
             return false;
         }
         if (notExecuted()) {
-            piece.release();
+            chunk.release();
             return false;
         }
-        ByteBuf ready = route.resumable() ? framer.append(piece) : piece;
+        ByteBuf ready = route.resumable() ? framer.append(chunk) : chunk;
         if (!ready.isReadable()) {
             ready.release();
             return false;
@@ -68,52 +68,55 @@
         return true;
     }
 
-    private void bufferBody(ByteBuf piece) {
-        oversized = oversized || bufferedBody.readableBytes() + piece.readableBytes() > Front.MAX_ANSWER_BYTES;
+    private void bufferBody(ByteBuf chunk) {
+        oversized = oversized || bufferedBody.readableBytes() + chunk.readableBytes() > Front.MAX_ANSWER_BYTES;
         if (oversized) {
-            piece.release();
+            chunk.release();
         } else {
-            bufferedBody.addComponent(true, piece);
+            bufferedBody.addComponent(true, chunk);
         }
     }
 
-    /** Tells whether the target said that it did not run the request. */
+    /** Returns whether the target reported that it did not execute the request. */
     boolean notExecuted() {
         return head.notExecuted() || head.wrongTarget();
     }
 
-    /** Tells whether another target answered than the one that was meant. */
+    /** Returns whether a target other than the intended one responded. */
     boolean fromWrongTarget() {
         return head.wrongTarget();
     }
 
-    /** Tells whether what came can be passed on: signed if a success, whole, and of a kind with what went before. */
+    /**
+     * Returns whether the response can be delivered: a success is signed, the body is within the size limit, and a
+     * stream that has started is not continued by a response of another kind.
+     */
     boolean isDeliverable() {
-        boolean unsigned = success() && !head.signed();
-        return !unsigned && !oversized && !(streamStarted && bufferedBody != null);
+        boolean unsignedSuccess = success() && !head.signed();
+        return !unsignedSuccess && !oversized && !(streamStarted && bufferedBody != null);
     }
 
-    /** Returns the status of the last answer; 0 before the first. */
+    /** Returns the HTTP status of the latest target response; 0 before the first. */
     int status() {
         return head == null ? 0 : head.status();
     }
 
-    /** Tells whether the caller has got the head of a stream. */
+    /** Returns whether the head of a stream was written to the caller. */
     boolean streamStarted() {
         return streamStarted;
     }
 
-    /** Tells whether a run at another target can go on with the answer where it stands. */
+    /** Returns whether another target can continue the response from its current position. */
     boolean canResume() {
         return !streamStarted || route.resumable() && framer.lastEventId().isPresent();
     }
 
-    /** Returns the last event that the caller has of the stream; empty before the first. */
+    /** Returns the id of the last event forwarded to the caller; empty before the first. */
     Optional<String> lastEventId() {
         return framer.lastEventId();
     }
 
-    /** Drops what was collected, and half an event, before another target answers. */
+    /** Discards the buffered body and any partial event before another target responds. */
     void discardIncomplete() {
         if (bufferedBody != null) {
             bufferedBody.release();
@@ -123,17 +126,17 @@
         framer.discardPartialEvent();
     }
 
-    /** Tells whether what came ends where an event ends. */
+    /** Returns whether the received data ends at an event boundary. */
     boolean endsAtEventBoundary() {
         return !streamStarted || !framer.hasPartialEvent();
     }
 
-    /** Ends the caller's answer with what came. */
+    /** Completes the response to the caller with the received data. */
     void deliver() {
         if (!streamStarted) {
-            ByteBuf whole = bufferedBody;
+            ByteBuf content = bufferedBody;
             bufferedBody = null;
-            caller.respond(callerResponse.status(), dialect.callerHeaders(callerResponse), whole);
+            caller.respond(callerResponse.status(), dialect.callerHeaders(callerResponse), content);
         } else {
             caller.endStream();
         }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseHead.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseHead.java
@@ -3,7 +3,7 @@
 import java.util.OptionalLong;
 import org.immutables.value.Value;
 
-/** What the head of a target's answer says. */
+/** Parsed head of a target's response. */
 @Value.Immutable
 public interface ResponseHead {
     /**
@@ -14,37 +14,37 @@
     int status();
 
     /**
-     * Returns the id of the attempt that is answered.
+     * Returns the id of the attempt to which the target responds.
      *
-     * @return id; empty text when the answer names none
+     * @return id; empty string when the response carries none
      */
     String attemptId();
 
     /**
-     * Tells whether the target says that it did not run the request.
+     * Returns whether the target reports that it did not execute the request.
      *
-     * @return true when the request may be sent elsewhere, whatever its kind
+     * @return true when the request may be sent to another target, even if it is not idempotent
      */
     boolean notExecuted();
 
     /**
-     * Tells whether another target than the expected one answered.
+     * Returns whether a target other than the expected one responded.
      *
      * @return true when the address now belongs to another target
      */
     boolean wrongTarget();
 
     /**
-     * Tells whether the answer bears the target's signature.
+     * Returns whether the response carries the target's signature.
      *
-     * @return true when it does; a success without one is not the target's
+     * @return true when signed; an unsigned success does not originate from the target
      */
     boolean signed();
 
     /**
-     * Returns how long the target keeps the idle connection.
+     * Returns how long the target keeps an idle connection open.
      *
-     * @return time in milliseconds; empty when it does not say
+     * @return time in milliseconds; empty when the target does not specify it
      */
     OptionalLong keepAliveMillis();
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseTimeout.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ResponseTimeout.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends the wait for an answer when its first byte is late or its bytes stop coming.
+ * Times out a response whose first byte is late, that stalls, or that takes too long in total.
  *
- * <p>An answer that keeps coming is waited for, whatever its size: a limit on the whole of it would have a host with a
- * small link throw away what it has and ask for all of it again, for ever.
+ * <p>A response that keeps arriving is not limited in size. A short limit on the whole transfer would make a host with
+ * a slow link discard what it received and request all of it again, endlessly.
  */
 public final class ResponseTimeout {
-    /** Time without a byte after which an answer that has begun counts as lost. */
+    /** Time without a received byte after which a response that has started counts as lost. */
     private static final long IDLE_TIMEOUT_MILLIS = 1_000;
-    /** Longest time for an answer that keeps coming; another source may then be faster. */
+    /** Maximum duration of a response that keeps arriving; another source may be faster by then. */
     private static final long TOTAL_TIMEOUT_MILLIS = 10_000;
 
     private final EventLoopGroup loop;
@@ -28,19 +28,19 @@
     private long receivedBytes;
 
     /**
-     * Creates a timeout that waits for nothing.
+     * Creates a timeout that is not started.
      *
-     * @param loop the thread on which everything about the answer runs
+     * @param loop event loop that runs the checks and on which all methods are called
      */
     public ResponseTimeout(EventLoopGroup loop) {
         this.loop = loop;
     }
 
     /**
-     * Begins to wait for an answer.
+     * Starts the timeout of a response.
      *
-     * @param firstByteMillis time in milliseconds within which its first byte must come
-     * @param action run once when the answer is late; not after {@link #cancel()}
+     * @param firstByteMillis maximum time until the first byte, in milliseconds
+     * @param action run once when the response times out; not run after {@link #cancel()}
      */
     public void start(long firstByteMillis, Runnable action) {
         timeoutAction = action;
@@ -49,7 +49,7 @@
         pendingCheck = loop.schedule(this::checkProgress, firstByteMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends the wait. */
+    /** Cancels the timeout. */
     public void cancel() {
         if (pendingCheck != null) {
             pendingCheck.cancel(false);
@@ -58,25 +58,25 @@
     }
 
     /**
-     * Tells whether an answer has begun and is waited for.
+     * Returns whether a response has started and the timeout is still active.
      *
-     * @return true between its first byte and its end
+     * @return true from the first received byte until cancellation or timeout
      */
     public boolean isReceiving() {
         return pendingCheck != null && receivedBytes > 0;
     }
 
     /**
-     * Returns the bytes of the answer so far.
+     * Returns the size of the response so far.
      *
-     * @return bytes since the wait began
+     * @return bytes received since the start
      */
     public long receivedBytes() {
         return receivedBytes;
     }
 
     /**
-     * Returns the time since the wait began.
+     * Returns the time since the start.
      *
      * @return milliseconds
      */
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Creates what tells this timeout of a connection's bytes.
+     * Creates a handler that reports a connection's received bytes to this timeout.
      *
-     * @return handler for the beginning of the connection's pipeline
+     * @return handler, to be the first of the connection's pipeline
      */
     public ChannelHandler handler() {
         return new ChannelInboundHandlerAdapter() {
@@ -101,13 +101,13 @@
     }
 
     private void checkProgress() {
-        long leftMillis = receivedBytes == 0
+        long remainingMillis = receivedBytes == 0
                 ? 0
                 : Math.min(
                         IDLE_TIMEOUT_MILLIS - millisSince(lastByteAtNanos),
                         TOTAL_TIMEOUT_MILLIS - millisSince(startedAtNanos));
-        if (leftMillis > 0) {
-            pendingCheck = loop.schedule(this::checkProgress, leftMillis, TimeUnit.MILLISECONDS);
+        if (remainingMillis > 0) {
+            pendingCheck = loop.schedule(this::checkProgress, remainingMillis, TimeUnit.MILLISECONDS);
             return;
         }
         pendingCheck = null;
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TruncationCause.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TruncationCause.java
@@ -2,20 +2,20 @@
 
 import java.util.Locale;
 
-/** Why a stream ended without its last event. */
+/** Reason why a stream ended without its last event. */
 enum TruncationCause {
-    /** The caller's connection closed. */
+    /** The caller's connection was closed. */
     CALLER_LEFT,
-    /** The target failed, and no other could go on with the stream. */
+    /** The target failed, and no other target could resume the stream. */
     TARGET_LOST,
-    /** The target ended its answer in the middle of an event. */
+    /** The target ended its response in the middle of an event. */
     PART_OF_EVENT,
-    /** The time limit was reached. */
+    /** The deadline of the request was reached. */
     TIMED_OUT,
-    /** No target was left to go on with the stream in time. */
+    /** No target was available in time to resume the stream. */
     REFUSED;
 
-    /** Returns the value of the metric's tag. */
+    /** Returns the value of the metric's tag: the constant's name in lower case, with hyphens. */
     String tag() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/package-info.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The process that callers connect to: it reads their requests, sends them to targets and returns the answers, and it
- * speaks with its peers. One thread carries all of it, so the state needs no locks; a second one writes the log.
+ * The front process, to which callers connect. It reads their requests, dispatches them to targets, returns the
+ * responses and exchanges state with its peers. A single thread does all of this, so the state needs no locks; a second
+ * thread writes the log.
  */
 package org.whinwharf.front;
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformDialectTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformDialectTest.java
@@ -44,7 +44,7 @@
         assertThat(head.attemptId(), is("9c41"));
         assertThat(head.path(), is("/a/b"));
         assertThat(head.promptTokens(), is(1_460L));
-        assertThat(head.answerTokens(), is(80L));
+        assertThat(head.maxAnswerTokens(), is(80L));
         assertThat(head.timeoutMillis(), is(OptionalLong.of(12_000)));
         assertThat(head.promptParts(), contains(new PromptPart("5c1e", 800), new PromptPart("91bd", 660)));
         assertThat(head.apiKey(), is(Optional.of("secret")));
