--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CommonPlacementLoadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CommonPlacementLoadTest.java
@@ -64,12 +64,12 @@
 
     private double fullShareWithOneCoordinator() {
         Map<String, TargetState> targets = engines();
-        PromptCacheIndex prompts = new PromptCacheIndex();
+        PromptCacheIndex promptCache = new PromptCacheIndex();
         GrantListener listener = new GrantListener();
         Coordinator coordinator = new Coordinator(ImmutableCoordinatorDependencies.builder()
                 .localName("front-0")
-                .targetSelector(new TargetSelector(prompts, target -> 0, () -> 0))
-                .promptCache(prompts)
+                .targetSelector(new TargetSelector(promptCache, target -> 0, () -> 0))
+                .promptCache(promptCache)
                 .targets(service -> targets.values())
                 .evacuatedDataCentres(Set::of)
                 .quotas(new QuotaLedger(true))
@@ -85,22 +85,22 @@
 
     private double fullShareWithIndependentFronts() {
         Map<Integer, Map<String, TargetState>> views = new HashMap<>();
-        Map<Integer, TargetSelector> placements = new HashMap<>();
+        Map<Integer, TargetSelector> selectors = new HashMap<>();
         for (int front = 0; front < FRONTS; front++) {
             views.put(front, engines());
-            placements.put(
+            selectors.put(
                     front, new TargetSelector(new PromptCacheIndex(), target -> 0, () -> random.nextDouble() * 0.5));
         }
         simulateArrivals((request, nowMillis) -> {
             int front = request % FRONTS;
-            Optional<Candidate> chosen = placements
+            Optional<Candidate> selected = selectors
                     .get(front)
                     .select(
                             Fixtures.demand(0, 600, "s" + request),
                             views.get(front).values(),
                             Set.of(),
                             nowMillis);
-            chosen.ifPresent(candidate -> {
+            selected.ifPresent(candidate -> {
                 candidate.state().recordDispatch(candidate.uncachedTokens());
                 startRequest(candidate.state().target().id(), nowMillis, () -> {
                     candidate.state().recordPrefillEnd(candidate.uncachedTokens());
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatedFleet.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatedFleet.java
@@ -41,11 +41,11 @@
         for (int i = 0; i < engines; i++) {
             targets.put("engine-" + i, new TargetState(Fixtures.target("engine-" + i, slots)));
         }
-        PromptCacheIndex prompts = new PromptCacheIndex();
+        PromptCacheIndex promptCache = new PromptCacheIndex();
         coordinator = new Coordinator(ImmutableCoordinatorDependencies.builder()
                 .localName("front-0")
-                .targetSelector(new TargetSelector(prompts, target -> 0, () -> 0))
-                .promptCache(prompts)
+                .targetSelector(new TargetSelector(promptCache, target -> 0, () -> 0))
+                .promptCache(promptCache)
                 .targets(service -> targets.values())
                 .evacuatedDataCentres(Set::of)
                 .quotas(new QuotaLedger(true))
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorTest.java
@@ -42,11 +42,11 @@
     private final Coordinator coordinator = coordinator();
 
     private Coordinator coordinator() {
-        PromptCacheIndex prompts = new PromptCacheIndex();
+        PromptCacheIndex promptCache = new PromptCacheIndex();
         return new Coordinator(ImmutableCoordinatorDependencies.builder()
                 .localName("front-0")
-                .targetSelector(new TargetSelector(prompts, target -> 1, () -> 0))
-                .promptCache(prompts)
+                .targetSelector(new TargetSelector(promptCache, target -> 1, () -> 0))
+                .promptCache(promptCache)
                 .targets(service -> targets.values())
                 .evacuatedDataCentres(Set::of)
                 .quotas(quotas)
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/TargetSelector.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/TargetSelector.java
@@ -56,8 +56,8 @@
      *
      * @param promptCache record of the targets that have read each prompt
      * @param coldShares share of this process in the requests to cold targets
-     * @param jitter random fraction that is added to the score of each engine; without it, processes that select
-     *     independently would all pick the fastest engine at once
+     * @param jitter random fraction by which the score of an engine is increased, drawn for each engine; without it,
+     *     processes that select independently would all pick the fastest engine at once
      */
     public TargetSelector(PromptCacheIndex promptCache, ColdShares coldShares, DoubleSupplier jitter) {
         this(promptCache, coldShares, jitter, Policy.ALL_ENABLED);
@@ -68,7 +68,7 @@
      *
      * @param promptCache record of the targets that have read each prompt
      * @param coldShares share of this process in the requests to cold targets
-     * @param jitter random fraction that is added to the score of each engine
+     * @param jitter random fraction by which the score of an engine is increased, drawn for each engine
      * @param policy enabled mechanisms
      */
     public TargetSelector(PromptCacheIndex promptCache, ColdShares coldShares, DoubleSupplier jitter, Policy policy) {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/policy/Mechanism.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/policy/Mechanism.java
@@ -2,7 +2,7 @@
 
 /** A mechanism of the scheduling policy. Each can be disabled separately to measure its effect on a fleet. */
 public enum Mechanism {
-    /** Short requests of a route are queued in the next higher rank. */
+    /** Requests of routes with short requests are queued in the next higher rank. */
     JOINED_RANKS,
     /** A request whose estimated wait exceeds its queue timeout is rejected on arrival. */
     REFUSAL_ON_ARRIVAL,
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/JoinedRanks.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/JoinedRanks.java
@@ -4,7 +4,7 @@
 import org.whinwharf.traffic.catalog.TierRank;
 
 /**
- * Queues the short requests of a route in the next higher rank.
+ * Queues the requests of routes with short requests in the next higher rank.
  *
  * <p>Under overload, strict priority rejects nearly all requests of the lowest route. If these hold a slot for a tenth
  * of the time of the requests ranked above them, this frees almost no capacity: seven checks are rejected for one more
