--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CatalogTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CatalogTest.java
@@ -33,7 +33,7 @@
         AtomicInteger tried = new AtomicInteger();
         List<Route> routes = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
-            routes.add(counting(Fixtures.route("api.example", "/route-" + i + "/"), tried));
+            routes.add(countingPrefixReads(Fixtures.route("api.example", "/route-" + i + "/"), tried));
         }
         Catalog large = new Catalog(1, CallerLimits.DEFAULT, routes, List.of(), List.of());
         tried.set(0);
@@ -73,7 +73,7 @@
     }
 
     /** Returns the same route, whose prefix is counted each time that it is looked at. */
-    private static Route counting(Route route, AtomicInteger looks) {
+    private static Route countingPrefixReads(Route route, AtomicInteger looks) {
         return (Route) Proxy.newProxyInstance(
                 Route.class.getClassLoader(), new Class<?>[] {Route.class}, (proxy, method, arguments) -> {
                     if (method.getName().equals("pathPrefix")) {
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/BeatSpreadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/HeartbeatPropagationTest.java
@@ -20,18 +20,18 @@
  * Signs of life that go from hand to hand through a fleet of ninety, each process telling two others four times a
  * second.
  */
-class BeatSpreadTest {
+class HeartbeatPropagationTest {
     private static final int PROCESSES = 90;
     private static final int FAN_OUT = 2;
-    private static final long ROUND_MILLIS = 300;
+    private static final long GOSSIP_INTERVAL_MILLIS = 300;
     /** Loss on a bad link, as measured where links are disturbed. */
-    private static final double LOSS = 0.025;
+    private static final double DATAGRAM_LOSS_RATIO = 0.025;
 
     private final Random random = new Random(11);
     private final List<MemberTable> tables = new ArrayList<>();
     private long nowMillis;
 
-    BeatSpreadTest() {
+    HeartbeatPropagationTest() {
         for (int i = 0; i < PROCESSES; i++) {
             MemberTable table = new MemberTable(report(i));
             for (int other = 0; other < PROCESSES; other++) {
@@ -46,9 +46,9 @@
      * its part of quotas is given to others.
      */
     @Test
-    void noSoundProcessIsEverTakenForDead() {
+    void noHealthyProcessIsSuspected() {
         for (int round = 0; round < 100; round++) {
-            round(PROCESSES);
+            gossipRound(PROCESSES);
             for (MemberTable table : tables) {
                 assertThat(table.alive(nowMillis), hasSize(PROCESSES - 1));
             }
@@ -57,21 +57,21 @@
 
     /** A process is killed. Others go on telling each other of it and must not keep it alive among themselves. */
     @Test
-    void deadProcessIsSilentEverywhereSoon() {
+    void killedProcessIsSuspectedByEveryPeer() {
         for (int round = 0; round < 20; round++) {
-            round(PROCESSES);
+            gossipRound(PROCESSES);
         }
         long killedAtMillis = nowMillis;
         int living = PROCESSES - 1;
-        while (aliveSomewhere(living)) {
-            round(living);
+        while (aliveInAnyTable(living)) {
+            gossipRound(living);
         }
         assertThat(nowMillis - killedAtMillis, greaterThan(MemberTable.LARGE_FLEET_SUSPECT_TIMEOUT_MILLIS - 1));
         assertThat(nowMillis - killedAtMillis, lessThan(MemberTable.LARGE_FLEET_SUSPECT_TIMEOUT_MILLIS + 3_000));
     }
 
     @Test
-    void phaseTravelsWithTheSignOfLife() {
+    void heartbeatCarriesThePhase() {
         MemberTable one = tables.get(0);
         one.receive(new MemberHeartbeat("front-7".hashCode(), 1, 50, MemberPhase.MEMBER_LEAVING), 10);
         assertThat(one.serving(10).stream().anyMatch(report -> report.getName().equals("front-7")), is(false));
@@ -79,7 +79,7 @@
 
     /** A process was restarted between two rounds. Its new lifetime has to be asked for, not taken for the old one. */
     @Test
-    void signOfLifeOfAnUnknownLifetimeIsNotTaken() {
+    void heartbeatOfAnUnknownIncarnationIsRejected() {
         assertThat(
                 tables.get(0).receive(new MemberHeartbeat("front-7".hashCode(), 2, 1, MemberPhase.MEMBER_SERVING), 10),
                 is(false));
@@ -88,7 +88,7 @@
 
     /** A report that was passed on slowly comes after younger signs of life. It is news, but not of life. */
     @Test
-    void olderReportDoesNotTakeBackAYoungerSignOfLife() {
+    void olderReportDoesNotRevertANewerHeartbeat() {
         MemberTable one = tables.get(0);
         one.receive(new MemberHeartbeat("front-7".hashCode(), 1, 50, MemberPhase.MEMBER_LEAVING), 10);
         assertThat(
@@ -102,22 +102,22 @@
         assertThat(member.receivedAtMillis(), is(10L));
     }
 
-    private boolean aliveSomewhere(int living) {
+    private boolean aliveInAnyTable(int living) {
         String dead = "front-" + living;
         return tables.subList(0, living).stream()
                 .flatMap(table -> table.alive(nowMillis).stream())
                 .anyMatch(member -> member.report().getName().equals(dead));
     }
 
-    private void round(int living) {
-        nowMillis += ROUND_MILLIS;
+    private void gossipRound(int living) {
+        nowMillis += GOSSIP_INTERVAL_MILLIS;
         for (int from = 0; from < living; from++) {
             MemberTable table = tables.get(from);
             table.updateLocalReport(report(from).toBuilder());
             List<MemberHeartbeat> beats = table.heartbeats(90, nowMillis);
             for (int i = 0; i < FAN_OUT; i++) {
                 MemberTable hearer = tables.get(random.nextInt(living));
-                if (random.nextDouble() >= LOSS) {
+                if (random.nextDouble() >= DATAGRAM_LOSS_RATIO) {
                     beats.forEach(beat -> hearer.receive(beat, nowMillis));
                 }
             }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/ItemMirrorTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/ItemMirrorTest.java
@@ -18,7 +18,7 @@
      * must show the removal, or the target would get requests after its end.
      */
     @Test
-    void copyShowsWhatTheWatchMissed() {
+    void copyRevealsRemovalsTheWatchMissed() {
         mirror.replace(List.of(item("a", 1), item("b", 2)), 2);
         List<PublishedValue> changed = mirror.replace(List.of(item("a", 1)), 9);
         assertThat(changed, hasSize(1));
@@ -40,7 +40,7 @@
      * call a target gone that has come back.
      */
     @Test
-    void watchThatBeginsBeforeAnItemDoesNotTakeItBack() {
+    void watchDoesNotRevertAnItemNewerThanItsStart() {
         mirror.replace(List.of(item("a", 10)), 8);
         assertThat(mirror.apply(List.of(item("a", 9)), 9), empty());
         assertThat(mirror.apply(List.of(new PublishedValue("a", null, 9)), 9), empty());
@@ -62,7 +62,7 @@
 
     /** Guards against news of a removal that is lost once the item's earlier versions are not kept any more. */
     @Test
-    void peerHearsOfARemovalAfterManyOtherChanges() {
+    void peerReceivesARemovalAfterManyOtherChanges() {
         mirror.replace(List.of(item("a", 1), item("b", 1)), 1);
         mirror.apply(List.of(new PublishedValue("b", null, 2)), 2);
         for (int revision = 3; revision <= 400; revision++) {
@@ -75,7 +75,7 @@
 
     /** Guards against a removal that is told although the item has come back. */
     @Test
-    void itemThatCameBackIsNotToldAsRemoved() {
+    void recreatedItemIsNotReportedAsRemoved() {
         mirror.replace(List.of(item("a", 1)), 1);
         mirror.apply(List.of(new PublishedValue("a", null, 2)), 2);
         mirror.apply(List.of(item("a", 3)), 3);
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/MemberTableTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/MemberTableTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void silentProcessIsNamedToNobodyButStillCounts() {
+    void suspectedProcessIsNotServingButCountsUntilItExpires() {
         table.receive(Fixtures.report("a", 1, 1), 0);
         assertThat(table.serving(MemberTable.SUSPECT_TIMEOUT_MILLIS), hasSize(2));
         assertThat(table.serving(MemberTable.SUSPECT_TIMEOUT_MILLIS + 1), hasSize(1));
@@ -43,7 +43,7 @@
      * the directory for as long as the clock was set back.
      */
     @Test
-    void processThatHearsAHigherIncarnationOfItselfTakesAHigherOne() {
+    void higherIncarnationOfTheLocalProcessIsExceeded() {
         table.receive(Fixtures.report("own", 5_000, 7), 0);
         assertThat(table.localReport().getIncarnation(), greaterThan(5_000L));
     }
@@ -53,7 +53,7 @@
      * last twenty-six would stand nearly idle while callers of the others are refused for want of a connection.
      */
     @Test
-    void everyProcessOfALargeFleetIsNamedToAsManyCallers() {
+    void everyProcessOfALargeFleetIsReturnedEquallyOften() {
         table.updateLocalReport(Fixtures.report("own", 100, 0).toBuilder());
         Map<String, Integer> named = new HashMap<>();
         for (int i = 0; i < 90; i++) {
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/QuotaLedgerTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/QuotaLedgerTest.java
@@ -19,15 +19,15 @@
 class QuotaLedgerTest {
     private static final int PROCESSES = 7;
     private static final double RATE = 36_000;
-    private static final double BOUND = (RATE * 8 + RATE) * 1.25 + 140_000;
+    private static final double MAX_ADMITTED_TOKENS = (RATE * 8 + RATE) * 1.25 + 140_000;
     private static final long REQUEST_TOKENS = 1_500;
-    private static final long NEWS_MILLIS = 150;
+    private static final long GOSSIP_INTERVAL_MILLIS = 150;
 
     @Test
     void allProcessesTogetherKeepToTheQuotaAndUseIt() {
         List<QuotaLedger> fleet = fleet(true);
         long admitted = flood(fleet, fleet.size(), 0, 8_000);
-        assertThat((double) admitted, lessThan(BOUND));
+        assertThat((double) admitted, lessThan(MAX_ADMITTED_TOKENS));
         assertThat((double) admitted, greaterThan(RATE * 9 * 0.97));
     }
 
@@ -36,14 +36,14 @@
      * organisation sends to both; without a share left to the other half, twice the quota would be admitted.
      */
     @Test
-    void halvesThatDoNotHearEachOtherKeepToTheQuotaTogether() {
+    void partitionedHalvesKeepToTheQuotaTogether() {
         List<QuotaLedger> fleet = fleet(true);
         flood(fleet, fleet.size(), 0, 8_000);
         for (int i = 0; i < PROCESSES; i++) {
             fleet.get(i).updateReachableShare(1.2 * (i < 3 ? 3.0 / 7 : 4.0 / 7), 8_000);
         }
         long admitted = flood(fleet, 3, 8_000, 16_000);
-        assertThat((double) admitted, lessThan(BOUND));
+        assertThat((double) admitted, lessThan(MAX_ADMITTED_TOKENS));
     }
 
     /**
@@ -54,7 +54,7 @@
     void restartOfAllProcessesKeepsToTheQuota() {
         long before = flood(fleet(true), PROCESSES, 0, 4_000);
         long after = flood(fleet(false), PROCESSES, 4_000, 8_000);
-        assertThat((double) (before + after), lessThan(BOUND));
+        assertThat((double) (before + after), lessThan(MAX_ADMITTED_TOKENS));
     }
 
     /**
@@ -63,14 +63,14 @@
      * quota.
      */
     @Test
-    void whatIsGivenBackIsNotCountedAsUsedByOthers() {
+    void refundsReachOtherProcesses() {
         List<QuotaLedger> fleet = fleet(true);
         for (long now = 0; now < 8_000; now += 10) {
             if (fleet.get(0).tryAdmit("obec", REQUEST_TOKENS, now)) {
                 fleet.get(0).refund("obec", REQUEST_TOKENS);
             }
-            if (now % NEWS_MILLIS == 0) {
-                tellAll(fleet, PROCESSES, now);
+            if (now % GOSSIP_INTERVAL_MILLIS == 0) {
+                exchangeTotals(fleet, PROCESSES, now);
             }
         }
         assertThat(fleet.get(0).admittedTotals().values().iterator().next(), is(REQUEST_TOKENS));
@@ -82,7 +82,7 @@
      * admits again, all but one would be refused a second time.
      */
     @Test
-    void refusedCallersAreToldToComeBackOneAfterAnother() {
+    void retryAfterDelaysOfRejectedCallersAreStaggered() {
         QuotaLedger ledger = new QuotaLedger(true);
         ledger.update(Fixtures.catalog(1, RATE, RATE), 0);
         while (ledger.tryAdmit("obec", REQUEST_TOKENS, 0)) {
@@ -101,7 +101,7 @@
      * ones, and refused callers would be told to stay away ever longer.
      */
     @Test
-    void restartsOfAPeerDoNotLengthenTheAdvice() {
+    void peerRestartsDoNotLengthenTheRetryAfterDelay() {
         QuotaLedger ledger = new QuotaLedger(true);
         ledger.update(Fixtures.catalog(1, RATE, RATE), 0);
         ledger.receiveTotal("front-1", 1, "obec".hashCode(), 0, 0);
@@ -122,7 +122,7 @@
      * use of this moment, that would be a debt of half a minute's quota, and the front would refuse everybody.
      */
     @Test
-    void totalsFromBeforeTheOwnStartAreNoDebt() {
+    void totalsFromBeforeTheLocalStartAreNoDebt() {
         QuotaLedger ledger = new QuotaLedger(false);
         ledger.update(Fixtures.catalog(1, RATE, RATE), 0);
         ledger.receiveTotal("front-1", 1, "obec".hashCode(), 30 * (long) RATE, 0);
@@ -136,7 +136,7 @@
      * quota would be lost.
      */
     @Test
-    void useAdmittedForAnotherProcessIsCountedOnce() {
+    void admissionForAnotherProcessIsCountedOnce() {
         QuotaLedger ledger = new QuotaLedger(true);
         ledger.update(Fixtures.catalog(1, RATE, RATE), 0);
         ledger.receiveTotal("front-1", 1, "obec".hashCode(), 0, 0);
@@ -152,7 +152,7 @@
      * second until they hear of each other, each front has the whole bucket before it.
      */
     @Test
-    void largeFleetWithoutNewsOverspendsByLittle() {
+    void uncoordinatedLargeFleetOverspendsByLittle() {
         int processes = 90;
         long admitted = 0;
         for (int process = 0; process < processes; process++) {
@@ -184,14 +184,14 @@
             if (now % 7 < 1 && ledger.tryAdmit("obec", REQUEST_TOKENS, now)) {
                 admitted += REQUEST_TOKENS;
             }
-            if (now % NEWS_MILLIS == 0) {
-                tellAll(fleet, firstGroup, now);
+            if (now % GOSSIP_INTERVAL_MILLIS == 0) {
+                exchangeTotals(fleet, firstGroup, now);
             }
         }
         return admitted;
     }
 
-    private static void tellAll(List<QuotaLedger> fleet, int firstGroup, long now) {
+    private static void exchangeTotals(List<QuotaLedger> fleet, int firstGroup, long now) {
         for (int from = 0; from < fleet.size(); from++) {
             for (int to = 0; to < fleet.size(); to++) {
                 boolean sameGroup = from < firstGroup == to < firstGroup;
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TargetHealthTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TargetHealthTest.java
@@ -14,7 +14,7 @@
      * only their share shows it.
      */
     @Test
-    void shareOfErrorsEjects() {
+    void errorShareEjects() {
         boolean ejected = false;
         for (int i = 0; i < 40 && !ejected; i++) {
             ejected = health.recordErrorAnswer(0);
@@ -52,7 +52,7 @@
      * its last slot, and all these summaries would wait for nothing until their deadline.
      */
     @Test
-    void targetOnTrialGetsOneRequestAtATimeUntilOneIsAnswered() {
+    void targetOnTrialGetsOneRequestAtATimeUntilAnAnswerStarts() {
         health.recordFailure(0, true);
         health.beginProbe(600);
         health.recordProbeResult(650, true);
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/HostRoutes.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/HostRoutes.java
@@ -10,7 +10,7 @@
 
     private final Map<String, Route> byPrefix = new HashMap<>();
     /** Separators of the longest prefix; a path has no matching prefix beyond so many. */
-    private int mostSeparators;
+    private int maxSeparators;
 
     /** Adds a route; of two with one prefix the first takes the requests. */
     void add(Route route) {
@@ -18,14 +18,14 @@
         byPrefix.putIfAbsent(prefix, route);
         int separators =
                 (int) prefix.chars().filter(letter -> letter == SEPARATOR).count();
-        mostSeparators = Math.max(mostSeparators, separators);
+        maxSeparators = Math.max(maxSeparators, separators);
     }
 
     /** Finds the route with the longest prefix that begins a path. */
     Optional<Route> find(String path) {
         Route longest = null;
         int end = path.indexOf(SEPARATOR);
-        for (int separators = 1; end >= 0 && separators <= mostSeparators; separators++) {
+        for (int separators = 1; end >= 0 && separators <= maxSeparators; separators++) {
             Route route = byPrefix.get(path.substring(0, end + 1));
             if (route != null) {
                 longest = route;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Route.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Route.java
@@ -7,11 +7,11 @@
 @Value.Immutable
 public interface Route {
     /** Odd factor close to the golden ratio of 2^64, which spreads neighbouring hash codes over all bits. */
-    long SPREADING_FACTOR = 0x9E3779B97F4A7C15L;
+    long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
     /** Bits of a number that a double holds exactly. */
-    int DOUBLE_BITS = 53;
+    int DOUBLE_PRECISION_BITS = 53;
     /** Bits of a long beyond these. */
-    int UNUSED_BITS = 64 - DOUBLE_BITS;
+    int DISCARDED_BITS = 64 - DOUBLE_PRECISION_BITS;
 
     /**
      * Returns the route's name.
@@ -114,7 +114,9 @@
      */
     default String selectService(String attemptId) {
         double total = services().stream().mapToDouble(ServiceWeight::weight).sum();
-        double point = (attemptId.hashCode() * SPREADING_FACTOR >>> UNUSED_BITS) / (double) (1L << DOUBLE_BITS) * total;
+        double point = (attemptId.hashCode() * HASH_MULTIPLIER >>> DISCARDED_BITS)
+                / (double) (1L << DOUBLE_PRECISION_BITS)
+                * total;
         for (ServiceWeight service : services()) {
             point -= service.weight();
             if (point < 0) {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/TierRank.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/TierRank.java
@@ -11,7 +11,7 @@
  */
 public final class TierRank {
     /** Ranks that routes may have below one rank of organisations; more are taken together as the lowest. */
-    private static final int ROUTE_RANKS = 16;
+    private static final int ROUTE_RANK_COUNT = 16;
 
     private TierRank() {}
 
@@ -23,8 +23,8 @@
      * @return joint rank; 0 is served first
      */
     public static int combine(OptionalInt organisationRank, int routeRank) {
-        int route = Math.max(0, Math.min(ROUTE_RANKS - 1, routeRank));
-        return organisationRank.orElse(route) * ROUTE_RANKS + route;
+        int route = Math.max(0, Math.min(ROUTE_RANK_COUNT - 1, routeRank));
+        return organisationRank.orElse(route) * ROUTE_RANK_COUNT + route;
     }
 
     /**
@@ -35,7 +35,7 @@
      * @return true when their organisations have the same rank
      */
     public static boolean sameOrganisationRank(int oneRank, int otherRank) {
-        return oneRank / ROUTE_RANKS == otherRank / ROUTE_RANKS;
+        return oneRank / ROUTE_RANK_COUNT == otherRank / ROUTE_RANK_COUNT;
     }
 
     /**
@@ -45,6 +45,6 @@
      * @return rank of the route
      */
     public static int routeRank(int tierRank) {
-        return tierRank % ROUTE_RANKS;
+        return tierRank % ROUTE_RANK_COUNT;
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/items/ItemMirror.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/items/ItemMirror.java
@@ -21,7 +21,7 @@
  */
 public final class ItemMirror {
     /** Removals kept for peers that ask for what is new; older askers get everything. */
-    private static final int MOST_REMOVALS = 512;
+    private static final int MAX_REMOVALS = 512;
 
     private final Map<String, PublishedValue> items = new HashMap<>();
     /** Removals by key, oldest first. */
@@ -29,7 +29,7 @@
 
     private long revision;
     /** Revision from which on all removals are known. */
-    private long oldestRemovalRevision;
+    private long compactedRevision;
 
     /**
      * Returns the revision up to which the copy is complete.
@@ -66,7 +66,7 @@
             }
         }
         if (revision == 0) {
-            oldestRemovalRevision = atRevision;
+            compactedRevision = atRevision;
         }
         changed.forEach(this::put);
         revision = atRevision;
@@ -102,7 +102,7 @@
      * @return items and removals by revision; empty when they are no longer known and the asker needs everything
      */
     public Optional<List<PublishedValue>> changesAfter(long afterRevision) {
-        if (afterRevision < oldestRemovalRevision || afterRevision == 0) {
+        if (afterRevision < compactedRevision || afterRevision == 0) {
             return Optional.empty();
         }
         return Optional.of(Stream.concat(items.values().stream(), removals.values().stream())
@@ -128,9 +128,9 @@
         }
         items.remove(item.key());
         removals.put(item.key(), item);
-        if (removals.size() > MOST_REMOVALS) {
+        if (removals.size() > MAX_REMOVALS) {
             Iterator<PublishedValue> oldestFirst = removals.values().iterator();
-            oldestRemovalRevision = oldestFirst.next().revision();
+            compactedRevision = oldestFirst.next().revision();
             oldestFirst.remove();
         }
     }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/member/MemberTable.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/member/MemberTable.java
@@ -31,10 +31,10 @@
     public static final long EXPIRY_TIMEOUT_MILLIS = 20_000;
 
     /** What is used beyond the strict part while processes are silent. */
-    private static final double SILENT_EXCESS = 1.2;
+    private static final double SHARE_OVERCOMMIT_FACTOR = 1.2;
 
-    private final Map<String, Entry> others = new TreeMap<>();
-    private final Map<Integer, Entry> byDigest = new HashMap<>();
+    private final Map<String, Entry> remoteMembers = new TreeMap<>();
+    private final Map<Integer, Entry> entriesByNameDigest = new HashMap<>();
     private MemberReport localReport;
 
     /**
@@ -82,7 +82,7 @@
             }
             return false;
         }
-        Entry entry = others.get(report.getName());
+        Entry entry = remoteMembers.get(report.getName());
         Member known = entry == null ? null : entry.member;
         if (known == null || report.getIncarnation() > known.report().getIncarnation()) {
             put(new Member(report, report.getSequence(), nowMillis));
@@ -114,7 +114,7 @@
         if (beat.nameDigest() == localReport.getName().hashCode()) {
             return true;
         }
-        Entry entry = byDigest.get(beat.nameDigest());
+        Entry entry = entriesByNameDigest.get(beat.nameDigest());
         if (entry == null || (int) entry.member.report().getIncarnation() != beat.incarnationDigest()) {
             return false;
         }
@@ -138,25 +138,25 @@
      */
     public List<MemberHeartbeat> heartbeats(int most, long nowMillis) {
         List<MemberHeartbeat> beats = new ArrayList<>();
-        beats.add(beat(localReport, localReport.getSequence()));
+        beats.add(toHeartbeat(localReport, localReport.getSequence()));
         List<Member> newestFirst = alive(nowMillis);
         newestFirst.sort((left, right) -> Long.compare(right.receivedAtMillis(), left.receivedAtMillis()));
         for (Member member : newestFirst.subList(0, Math.min(newestFirst.size(), most - 1))) {
-            beats.add(beat(member.report(), member.heartbeatSequence()));
+            beats.add(toHeartbeat(member.report(), member.heartbeatSequence()));
         }
         return beats;
     }
 
-    private static MemberHeartbeat beat(MemberReport report, long sequence) {
+    private static MemberHeartbeat toHeartbeat(MemberReport report, long sequence) {
         return new MemberHeartbeat(
                 report.getName().hashCode(), (int) report.getIncarnation(), sequence, report.getPhase());
     }
 
     private void put(Member member) {
         String name = member.report().getName();
-        Entry entry = others.computeIfAbsent(name, key -> new Entry());
+        Entry entry = remoteMembers.computeIfAbsent(name, key -> new Entry());
         entry.member = member;
-        byDigest.put(name.hashCode(), entry);
+        entriesByNameDigest.put(name.hashCode(), entry);
     }
 
     /**
@@ -167,7 +167,7 @@
      */
     public List<String> expire(long nowMillis) {
         List<String> forgotten = new ArrayList<>();
-        others.values().removeIf(entry -> {
+        remoteMembers.values().removeIf(entry -> {
             Member member = entry.member;
             long silentMillis = nowMillis - member.receivedAtMillis();
             boolean left =
@@ -175,7 +175,7 @@
             boolean drop = left || silentMillis > EXPIRY_TIMEOUT_MILLIS;
             if (drop) {
                 forgotten.add(member.report().getName());
-                byDigest.remove(member.report().getName().hashCode());
+                entriesByNameDigest.remove(member.report().getName().hashCode());
             }
             return drop;
         });
@@ -190,8 +190,8 @@
      */
     public List<Member> alive(long nowMillis) {
         long limitMillis = largeFleet() ? LARGE_FLEET_SUSPECT_TIMEOUT_MILLIS : SUSPECT_TIMEOUT_MILLIS;
-        List<Member> alive = new ArrayList<>(others.size());
-        for (Entry entry : others.values()) {
+        List<Member> alive = new ArrayList<>(remoteMembers.size());
+        for (Entry entry : remoteMembers.values()) {
             if (nowMillis - entry.member.receivedAtMillis() <= limitMillis) {
                 alive.add(entry.member);
             }
@@ -205,7 +205,7 @@
      * @return true in a large fleet
      */
     public boolean largeFleet() {
-        return others.size() + 1 >= LARGE_FLEET_THRESHOLD;
+        return remoteMembers.size() + 1 >= LARGE_FLEET_THRESHOLD;
     }
 
     /**
@@ -214,7 +214,7 @@
      * @return members
      */
     public Collection<Member> all() {
-        return others.values().stream().map(entry -> entry.member).toList();
+        return remoteMembers.values().stream().map(entry -> entry.member).toList();
     }
 
     /**
@@ -273,8 +273,8 @@
      * @return share, this process included, above 0 and at most 1
      */
     public double reachableShare(long nowMillis) {
-        double strict = (1.0 + alive(nowMillis).size()) / (1.0 + others.size());
-        return Math.min(1, strict * SILENT_EXCESS);
+        double strict = (1.0 + alive(nowMillis).size()) / (1.0 + remoteMembers.size());
+        return Math.min(1, strict * SHARE_OVERCOMMIT_FACTOR);
     }
 
     /** Holds what was last heard of one process; signs of life come hundreds of times a second. */
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/QuotaAccount.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/QuotaAccount.java
@@ -16,18 +16,18 @@
      * overspend in a second of old news, some one and a half seconds' rate, is within what a window of eight seconds
      * may exceed the quota by.
      */
-    private static final double PACE_SHARES = 2;
+    private static final double UNCOORDINATED_RATE_SHARES = 2;
     /** Time for which unused pace is saved up. */
-    private static final double PACE_SAVED_SECONDS = 0.25;
+    private static final double UNCOORDINATED_BURST_SECONDS = 0.25;
 
     private double ratePerSecond;
     private double burst;
     private double level;
     private double reachableShare = 1;
-    private double refusedBacklog;
+    private double rejectedBacklogTokens;
     private long refilledAtMillis;
-    private double aloneLevel = Double.MAX_VALUE;
-    private long aloneAtMillis;
+    private double uncoordinatedLevel = Double.MAX_VALUE;
+    private long uncoordinatedRefilledAtMillis;
 
     /**
      * Creates an account.
@@ -64,7 +64,7 @@
      * @param share above 0, at most 1
      * @param nowMillis steady time in milliseconds
      */
-    public void reachableShare(double share, long nowMillis) {
+    public void updateReachableShare(double share, long nowMillis) {
         refill(nowMillis);
         reachableShare = share;
     }
@@ -79,7 +79,7 @@
     public boolean tryAdmit(long tokens, long nowMillis) {
         refill(nowMillis);
         if (level <= 0) {
-            refusedBacklog += tokens;
+            rejectedBacklogTokens += tokens;
             return false;
         }
         level -= tokens;
@@ -97,18 +97,19 @@
      * @return true when it is admitted
      */
     public boolean tryAdmitUncoordinated(long tokens, int processes, long nowMillis) {
-        double pacePerSecond = ratePerSecond * PACE_SHARES / processes;
-        aloneLevel = Math.min(
-                pacePerSecond * PACE_SAVED_SECONDS, aloneLevel + pacePerSecond * (nowMillis - aloneAtMillis) / 1_000.0);
-        aloneAtMillis = nowMillis;
-        if (aloneLevel <= 0) {
-            refusedBacklog += tokens;
+        double pacePerSecond = ratePerSecond * UNCOORDINATED_RATE_SHARES / processes;
+        uncoordinatedLevel = Math.min(
+                pacePerSecond * UNCOORDINATED_BURST_SECONDS,
+                uncoordinatedLevel + pacePerSecond * (nowMillis - uncoordinatedRefilledAtMillis) / 1_000.0);
+        uncoordinatedRefilledAtMillis = nowMillis;
+        if (uncoordinatedLevel <= 0) {
+            rejectedBacklogTokens += tokens;
             return false;
         }
         if (!tryAdmit(tokens, nowMillis)) {
             return false;
         }
-        aloneLevel -= tokens;
+        uncoordinatedLevel -= tokens;
         return true;
     }
 
@@ -143,7 +144,7 @@
     public long retryAfterMillis(int processes) {
         double ownRate = ratePerSecond / Math.max(1, processes);
         double debtSeconds = Math.max(0, -level) / ratePerSecond;
-        return (long) ((debtSeconds + refusedBacklog / ownRate) * 1_000) + 1;
+        return (long) ((debtSeconds + rejectedBacklogTokens / ownRate) * 1_000) + 1;
     }
 
     /**
@@ -162,6 +163,6 @@
         refilledAtMillis = nowMillis;
         double refill = ratePerSecond * reachableShare * elapsedMillis / 1_000.0;
         level = Math.min(burst, level + refill);
-        refusedBacklog = Math.max(0, refusedBacklog - refill);
+        rejectedBacklogTokens = Math.max(0, rejectedBacklogTokens - refill);
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/QuotaLedger.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/QuotaLedger.java
@@ -13,22 +13,22 @@
     private final boolean freshFleet;
     private final Map<String, QuotaAccount> accounts = new HashMap<>();
     private final Map<Integer, Long> admittedTotals = new HashMap<>();
-    private final Map<Integer, Long> givenBack = new HashMap<>();
-    private final Map<String, Heard> heardByProcess = new HashMap<>();
-    private final Map<Advance, Long> advances = new HashMap<>();
-    private final Map<Integer, String> namesByDigest = new HashMap<>();
-    private double updateReachableShare = 1;
-    private int processes = 1;
+    private final Map<Integer, Long> refundedTokens = new HashMap<>();
+    private final Map<String, ProcessTotals> totalsByProcess = new HashMap<>();
+    private final Map<PendingAdmissionKey, Long> pendingAdmissions = new HashMap<>();
+    private final Map<Integer, String> organisationNamesByDigest = new HashMap<>();
+    private double reachableShare = 1;
+    private int processCount = 1;
 
     /**
      * What the present lifetime of one process said that it admitted, by digest of the organisation's name.
      *
      * @param baselineAtMillis time at which its totals date from before this process knew it; negative for none
      */
-    private record Heard(long incarnation, long baselineAtMillis, Map<Integer, Long> totals) {}
+    private record ProcessTotals(long incarnation, long baselineAtMillis, Map<Integer, Long> totals) {}
 
     /** Use that was taken from an account here for a process that will say later that it admitted it. */
-    private record Advance(String process, int organisationDigest) {}
+    private record PendingAdmissionKey(String process, int organisationDigest) {}
 
     /**
      * Creates an empty ledger.
@@ -47,7 +47,7 @@
      */
     public void update(Catalog catalog, long nowMillis) {
         for (Organisation organisation : catalog.organisations()) {
-            namesByDigest.put(organisation.name().hashCode(), organisation.name());
+            organisationNamesByDigest.put(organisation.name().hashCode(), organisation.name());
             if (organisation.quotaTokensPerSecond() <= 0) {
                 accounts.remove(organisation.name());
                 continue;
@@ -57,7 +57,7 @@
             QuotaAccount account = accounts.get(organisation.name());
             if (account == null) {
                 account = new QuotaAccount(rate, burst, freshFleet, nowMillis);
-                account.reachableShare(updateReachableShare, nowMillis);
+                account.updateReachableShare(reachableShare, nowMillis);
                 accounts.put(organisation.name(), account);
             } else {
                 account.update(rate, burst, nowMillis);
@@ -91,11 +91,11 @@
      * @return true when it is admitted
      */
     public boolean tryAdmitUncoordinated(String organisation, long tokens, long nowMillis) {
-        if (processes < MemberTable.LARGE_FLEET_THRESHOLD) {
+        if (processCount < MemberTable.LARGE_FLEET_THRESHOLD) {
             return tryAdmit(organisation, tokens, nowMillis);
         }
         QuotaAccount account = accounts.get(organisation);
-        if (account != null && !account.tryAdmitUncoordinated(tokens, processes, nowMillis)) {
+        if (account != null && !account.tryAdmitUncoordinated(tokens, processCount, nowMillis)) {
             return false;
         }
         addToTotal(organisation.hashCode(), tokens);
@@ -103,8 +103,8 @@
     }
 
     private void addToTotal(int digest, long tokens) {
-        long unused = Math.min(tokens, givenBack.getOrDefault(digest, 0L));
-        givenBack.merge(digest, -unused, Long::sum);
+        long unused = Math.min(tokens, refundedTokens.getOrDefault(digest, 0L));
+        refundedTokens.merge(digest, -unused, Long::sum);
         admittedTotals.merge(digest, tokens - unused, Long::sum);
     }
 
@@ -120,7 +120,7 @@
         if (account != null) {
             account.refund(tokens);
         }
-        givenBack.merge(organisation.hashCode(), tokens, Long::sum);
+        refundedTokens.merge(organisation.hashCode(), tokens, Long::sum);
     }
 
     /**
@@ -131,7 +131,7 @@
      */
     public long retryAfterMillis(String organisation) {
         QuotaAccount account = accounts.get(organisation);
-        return account == null ? 0 : account.retryAfterMillis(1 + heardByProcess.size());
+        return account == null ? 0 : account.retryAfterMillis(1 + totalsByProcess.size());
     }
 
     /**
@@ -167,14 +167,14 @@
      * @param nowMillis steady time in milliseconds
      */
     public void receiveTotal(String process, long incarnation, int organisationDigest, long total, long nowMillis) {
-        Heard heard = heardByProcess.get(process);
+        ProcessTotals heard = totalsByProcess.get(process);
         if (heard == null) {
-            heard = new Heard(incarnation, nowMillis, new HashMap<>());
-            heardByProcess.put(process, heard);
+            heard = new ProcessTotals(incarnation, nowMillis, new HashMap<>());
+            totalsByProcess.put(process, heard);
         } else if (heard.incarnation() != incarnation) {
-            heard = new Heard(incarnation, NO_BASELINE, new HashMap<>());
-            heardByProcess.put(process, heard);
-            advances.keySet().removeIf(advance -> advance.process().equals(process));
+            heard = new ProcessTotals(incarnation, NO_BASELINE, new HashMap<>());
+            totalsByProcess.put(process, heard);
+            pendingAdmissions.keySet().removeIf(advance -> advance.process().equals(process));
         }
         long before = heard.totals().getOrDefault(organisationDigest, 0L);
         if (total <= before) {
@@ -184,11 +184,13 @@
         if (before == 0 && heard.baselineAtMillis() == nowMillis) {
             return;
         }
-        String name = namesByDigest.get(organisationDigest);
+        String name = organisationNamesByDigest.get(organisationDigest);
         QuotaAccount account = name == null ? null : accounts.get(name);
         if (account != null) {
-            long taken = Math.min(total - before, advances.getOrDefault(new Advance(process, organisationDigest), 0L));
-            advances.merge(new Advance(process, organisationDigest), -taken, Long::sum);
+            long taken = Math.min(
+                    total - before,
+                    pendingAdmissions.getOrDefault(new PendingAdmissionKey(process, organisationDigest), 0L));
+            pendingAdmissions.merge(new PendingAdmissionKey(process, organisationDigest), -taken, Long::sum);
             account.recordRemoteAdmission(total - before - taken, nowMillis);
         }
     }
@@ -210,7 +212,7 @@
         if (!account.tryAdmit(tokens, nowMillis)) {
             return false;
         }
-        advances.merge(new Advance(process, organisation.hashCode()), tokens, Long::sum);
+        pendingAdmissions.merge(new PendingAdmissionKey(process, organisation.hashCode()), tokens, Long::sum);
         return true;
     }
 
@@ -225,7 +227,7 @@
         QuotaAccount account = accounts.get(organisation);
         if (account != null) {
             account.refund(tokens);
-            advances.merge(new Advance(process, organisation.hashCode()), -tokens, Long::sum);
+            pendingAdmissions.merge(new PendingAdmissionKey(process, organisation.hashCode()), -tokens, Long::sum);
         }
     }
 
@@ -250,7 +252,7 @@
      * @param count processes that are heard from, this one included
      */
     public void updateProcessCount(int count) {
-        processes = count;
+        processCount = count;
     }
 
     /**
@@ -260,9 +262,9 @@
      * @param nowMillis steady time in milliseconds
      */
     public void updateReachableShare(double share, long nowMillis) {
-        if (share != updateReachableShare) {
-            updateReachableShare = share;
-            accounts.values().forEach(account -> account.reachableShare(share, nowMillis));
+        if (share != reachableShare) {
+            reachableShare = share;
+            accounts.values().forEach(account -> account.updateReachableShare(share, nowMillis));
         }
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/retry/RetryBudget.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/retry/RetryBudget.java
@@ -12,12 +12,12 @@
  */
 public final class RetryBudget {
     /** Part of the allowed share that is used; the rest is slack for requests that ended elsewhere in the window. */
-    private static final double USED_SHARE = 0.7;
+    private static final double RATIO_UTILISATION = 0.7;
 
     private final double ratio;
     private final long windowMillis;
     private final Deque<Long> requestsAtMillis = new ArrayDeque<>();
-    private final Deque<Long> repeatsAtMillis = new ArrayDeque<>();
+    private final Deque<Long> retriesAtMillis = new ArrayDeque<>();
 
     /**
      * Creates a budget.
@@ -49,10 +49,10 @@
      */
     public boolean tryRetry(long nowMillis, double allowance) {
         expire(nowMillis);
-        if (repeatsAtMillis.size() + 1 > requestsAtMillis.size() * ratio * USED_SHARE + allowance) {
+        if (retriesAtMillis.size() + 1 > requestsAtMillis.size() * ratio * RATIO_UTILISATION + allowance) {
             return false;
         }
-        repeatsAtMillis.addLast(nowMillis);
+        retriesAtMillis.addLast(nowMillis);
         return true;
     }
 
@@ -61,8 +61,8 @@
         while (!requestsAtMillis.isEmpty() && requestsAtMillis.peekFirst() < oldestMillis) {
             requestsAtMillis.removeFirst();
         }
-        while (!repeatsAtMillis.isEmpty() && repeatsAtMillis.peekFirst() < oldestMillis) {
-            repeatsAtMillis.removeFirst();
+        while (!retriesAtMillis.isEmpty() && retriesAtMillis.peekFirst() < oldestMillis) {
+            retriesAtMillis.removeFirst();
         }
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/ColdStartLimiter.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/ColdStartLimiter.java
@@ -14,7 +14,7 @@
     /** Window of the bound, with 200 ms added for requests of one second that arrive bunched. */
     private static final long WINDOW_MILLIS = 1_200;
 
-    private final Deque<Long> sentAtMillis = new ArrayDeque<>();
+    private final Deque<Long> dispatchedAtMillis = new ArrayDeque<>();
 
     /**
      * Tells whether one more request may go to the target now.
@@ -24,10 +24,10 @@
      * @return true when there is room
      */
     public boolean hasCapacity(long nowMillis, int mostInWindow) {
-        while (!sentAtMillis.isEmpty() && nowMillis - sentAtMillis.peekFirst() > WINDOW_MILLIS) {
-            sentAtMillis.removeFirst();
+        while (!dispatchedAtMillis.isEmpty() && nowMillis - dispatchedAtMillis.peekFirst() > WINDOW_MILLIS) {
+            dispatchedAtMillis.removeFirst();
         }
-        return sentAtMillis.size() < mostInWindow;
+        return dispatchedAtMillis.size() < mostInWindow;
     }
 
     /**
@@ -36,9 +36,9 @@
      * @param nowMillis steady time in milliseconds
      */
     public void recordDispatch(long nowMillis) {
-        sentAtMillis.addLast(nowMillis);
-        if (sentAtMillis.size() > 64) {
-            sentAtMillis.removeFirst();
+        dispatchedAtMillis.addLast(nowMillis);
+        if (dispatchedAtMillis.size() > 64) {
+            dispatchedAtMillis.removeFirst();
         }
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/PromptCacheIndex.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/PromptCacheIndex.java
@@ -12,31 +12,31 @@
  */
 public final class PromptCacheIndex {
     /** Prompts remembered; ten times the subjects that a fleet of ninety sees within the time of keeping. */
-    private static final int MOST_PROMPTS = 4_000;
+    private static final int MAX_PROMPTS = 4_000;
     /** Targets remembered for each prompt: at one free slot in six, some of eight is free four times in five. */
-    private static final int MOST_TARGETS = 8;
+    private static final int MAX_TARGETS_PER_PROMPT = 8;
     /**
      * Time for which an engine is taken to keep a prompt: its memory holds some seventy of the longest, and at full
      * load it reads three a second.
      */
-    private static final long KEPT_MILLIS = 20_000;
+    private static final long CACHE_RETENTION_MILLIS = 20_000;
 
-    private final Map<String, Map<String, Long>> readAtMillis = new Bounded<>(MOST_PROMPTS);
+    private final Map<String, Map<String, Long>> prefilledAtMillis = new LruMap<>(MAX_PROMPTS);
 
     /** A map that drops what was used least recently. */
-    private static final class Bounded<V> extends LinkedHashMap<String, V> {
+    private static final class LruMap<V> extends LinkedHashMap<String, V> {
         private static final long serialVersionUID = 1L;
 
-        private final int most;
+        private final int maxEntries;
 
-        Bounded(int most) {
+        LruMap(int most) {
             super(16, 0.75f, true);
-            this.most = most;
+            this.maxEntries = most;
         }
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, V> eldest) {
-            return size() > most;
+            return size() > maxEntries;
         }
     }
 
@@ -49,8 +49,8 @@
      */
     public void recordPrefill(List<PromptPart> parts, String targetId, long nowMillis) {
         if (!parts.isEmpty()) {
-            readAtMillis
-                    .computeIfAbsent(last(parts).id(), id -> new Bounded<>(MOST_TARGETS))
+            prefilledAtMillis
+                    .computeIfAbsent(last(parts).id(), id -> new LruMap<>(MAX_TARGETS_PER_PROMPT))
                     .put(targetId, nowMillis);
         }
     }
@@ -68,8 +68,9 @@
         if (parts.isEmpty()) {
             return promptTokens;
         }
-        Long atMillis = readAtMillis.getOrDefault(last(parts).id(), Map.of()).get(targetId);
-        if (atMillis != null && nowMillis - atMillis <= KEPT_MILLIS) {
+        Long atMillis =
+                prefilledAtMillis.getOrDefault(last(parts).id(), Map.of()).get(targetId);
+        if (atMillis != null && nowMillis - atMillis <= CACHE_RETENTION_MILLIS) {
             return 0;
         }
         long shared = parts.size() > 1 ? parts.get(0).tokens() : 0;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetHealth.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetHealth.java
@@ -11,34 +11,34 @@
  */
 public final class TargetHealth {
     /** Failures in a row that eject; two, since one lost connection happens to sound targets. */
-    private static final int EJECT_AFTER_FAILURES = 2;
+    private static final int CONSECUTIVE_FAILURE_THRESHOLD = 2;
     /** Share of failures among the last answers that ejects even when successes lie between. */
-    private static final double EJECT_SHARE = 0.5;
+    private static final double FAILURE_SHARE_THRESHOLD = 0.5;
     /** Weight of the newest answer in the share: the memory is about eight answers. */
-    private static final double NEWEST_WEIGHT = 0.12;
+    private static final double SMOOTHING_FACTOR = 0.12;
     /** First time out of use; about the time a crashed target needs to come back. */
-    private static final long FIRST_EJECTION_MILLIS = 500;
+    private static final long INITIAL_EJECTION_MILLIS = 500;
     /** Time between requests to a target on trial: most first events come within it. */
-    private static final long TRIAL_MILLIS = 500;
+    private static final long TRIAL_INTERVAL_MILLIS = 500;
     /** Longest time out of use: a recovered target is back within this. */
-    private static final long LONGEST_EJECTION_MILLIS = 4_000;
+    private static final long MAX_EJECTION_MILLIS = 4_000;
 
-    private int failuresInRow;
+    private int consecutiveFailures;
     private double failureShare;
-    private long ejectionMillis = FIRST_EJECTION_MILLIS;
+    private long ejectionMillis = INITIAL_EJECTION_MILLIS;
     private boolean ejected;
     private long probeAtMillis;
     private boolean probing;
     private boolean onTrial;
-    private long trialAtMillis;
+    private long lastDispatchMillis;
 
     /** Notes a request that the target answered properly, whatever the answer says. */
     public void recordSuccess() {
         onTrial = false;
-        failuresInRow = 0;
-        failureShare *= 1 - NEWEST_WEIGHT;
-        if (failureShare < EJECT_SHARE / 4) {
-            ejectionMillis = FIRST_EJECTION_MILLIS;
+        consecutiveFailures = 0;
+        failureShare *= 1 - SMOOTHING_FACTOR;
+        if (failureShare < FAILURE_SHARE_THRESHOLD / 4) {
+            ejectionMillis = INITIAL_EJECTION_MILLIS;
         }
     }
 
@@ -50,9 +50,9 @@
      * @return true when this ejected the target
      */
     public boolean recordFailure(long nowMillis, boolean unreachable) {
-        failuresInRow++;
-        failureShare += (1 - failureShare) * NEWEST_WEIGHT;
-        return eject(nowMillis, unreachable || failuresInRow >= EJECT_AFTER_FAILURES);
+        consecutiveFailures++;
+        failureShare += (1 - failureShare) * SMOOTHING_FACTOR;
+        return eject(nowMillis, unreachable || consecutiveFailures >= CONSECUTIVE_FAILURE_THRESHOLD);
     }
 
     /**
@@ -63,7 +63,7 @@
      * @return true when this ejected the target
      */
     public boolean recordErrorAnswer(long nowMillis) {
-        failureShare += (1 - failureShare) * NEWEST_WEIGHT;
+        failureShare += (1 - failureShare) * SMOOTHING_FACTOR;
         return eject(nowMillis, false);
     }
 
@@ -79,7 +79,7 @@
      * @return false while it is ejected, or on trial with a request just sent
      */
     public boolean admits(long nowMillis) {
-        return !ejected && (!onTrial || nowMillis >= trialAtMillis + TRIAL_MILLIS);
+        return !ejected && (!onTrial || nowMillis >= lastDispatchMillis + TRIAL_INTERVAL_MILLIS);
     }
 
     /**
@@ -88,16 +88,16 @@
      * @param nowMillis steady time in milliseconds
      */
     public void recordDispatch(long nowMillis) {
-        trialAtMillis = nowMillis;
+        lastDispatchMillis = nowMillis;
     }
 
     private boolean eject(long nowMillis, boolean certain) {
-        if (ejected || !certain && failureShare < EJECT_SHARE) {
+        if (ejected || !certain && failureShare < FAILURE_SHARE_THRESHOLD) {
             return false;
         }
         ejected = true;
         probeAtMillis = nowMillis + ejectionMillis;
-        ejectionMillis = Math.min(ejectionMillis * 2, LONGEST_EJECTION_MILLIS);
+        ejectionMillis = Math.min(ejectionMillis * 2, MAX_EJECTION_MILLIS);
         return true;
     }
 
@@ -135,12 +135,12 @@
         if (healthy) {
             ejected = false;
             onTrial = true;
-            trialAtMillis = nowMillis - TRIAL_MILLIS;
-            failuresInRow = 0;
-            failureShare = EJECT_SHARE / 2;
+            lastDispatchMillis = nowMillis - TRIAL_INTERVAL_MILLIS;
+            consecutiveFailures = 0;
+            failureShare = FAILURE_SHARE_THRESHOLD / 2;
         } else {
             probeAtMillis = nowMillis + ejectionMillis;
-            ejectionMillis = Math.min(ejectionMillis * 2, LONGEST_EJECTION_MILLIS);
+            ejectionMillis = Math.min(ejectionMillis * 2, MAX_EJECTION_MILLIS);
         }
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetSpeed.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetSpeed.java
@@ -10,13 +10,13 @@
     /** Prompt tokens read in a millisecond before any reading: a current engine's published figure. */
     public static final double ASSUMED_PREFILL_TOKENS_PER_MILLI = 60;
     /** Time to a first event beside the prompt, before any reading. */
-    private static final double ASSUMED_BASE_MILLIS = 20;
+    private static final double ASSUMED_OVERHEAD_MILLIS = 20;
     /** Weight of the newest reading: a change of speed shows after about five requests. */
-    private static final double NEWEST_WEIGHT = 0.2;
+    private static final double SMOOTHING_FACTOR = 0.2;
     /** Bounds of the factor, so that one odd reading neither bans a target nor floods it. */
-    private static final double SLOWEST_FACTOR = 12;
+    private static final double MAX_SLOWDOWN_FACTOR = 12;
 
-    private static final double FASTEST_FACTOR = 0.3;
+    private static final double MIN_SLOWDOWN_FACTOR = 0.3;
 
     /** Time for a token of an answer's bound before any reading: a current engine's published step. */
     private static final double ASSUMED_MILLIS_PER_ANSWER_TOKEN = 3.3;
@@ -44,8 +44,8 @@
      */
     public void recordFirstEvent(long uncachedTokens, double occupancy, long tookMillis) {
         double seen = (tookMillis + 1) / baselineMillis(uncachedTokens, occupancy);
-        double bounded = Math.max(FASTEST_FACTOR, Math.min(SLOWEST_FACTOR, seen));
-        slowdownFactor += (bounded - slowdownFactor) * NEWEST_WEIGHT;
+        double bounded = Math.max(MIN_SLOWDOWN_FACTOR, Math.min(MAX_SLOWDOWN_FACTOR, seen));
+        slowdownFactor += (bounded - slowdownFactor) * SMOOTHING_FACTOR;
     }
 
     /**
@@ -76,8 +76,9 @@
      * @param tookMillis time from its first event to its last
      */
     public void recordAnswer(long answerTokens, long tookMillis) {
-        double seen = Math.min(tookMillis / (double) answerTokens, ASSUMED_MILLIS_PER_ANSWER_TOKEN * SLOWEST_FACTOR);
-        millisPerAnswerToken += (seen - millisPerAnswerToken) * NEWEST_WEIGHT;
+        double seen =
+                Math.min(tookMillis / (double) answerTokens, ASSUMED_MILLIS_PER_ANSWER_TOKEN * MAX_SLOWDOWN_FACTOR);
+        millisPerAnswerToken += (seen - millisPerAnswerToken) * SMOOTHING_FACTOR;
     }
 
     /**
@@ -90,6 +91,6 @@
     }
 
     private static double baselineMillis(long uncachedTokens, double occupancy) {
-        return (ASSUMED_BASE_MILLIS + uncachedTokens / ASSUMED_PREFILL_TOKENS_PER_MILLI) * (1 + occupancy);
+        return (ASSUMED_OVERHEAD_MILLIS + uncachedTokens / ASSUMED_PREFILL_TOKENS_PER_MILLI) * (1 + occupancy);
     }
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetState.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetState.java
@@ -3,7 +3,7 @@
 /** What this process knows of one target; used by one thread only. */
 public final class TargetState {
     /** Time a full target gets nothing after it refused a request: about one in ten of its slots frees meanwhile. */
-    private static final long FULL_PAUSE_MILLIS = 60;
+    private static final long FULL_BACKOFF_MILLIS = 60;
 
     private Target target;
     private final TargetHealth health = new TargetHealth();
@@ -11,12 +11,12 @@
     private final ColdStartLimiter coldStartLimiter = new ColdStartLimiter();
     private int localInFlight;
     private long localPrefillTokens;
-    private int othersRunning;
-    private long othersPrefillTokens;
-    private int coordinatedRunning;
+    private int remoteInFlight;
+    private long remotePrefillTokens;
+    private int coordinatedInFlight;
     private long coordinatedPrefillTokens;
     private long coldUntilMillis;
-    private long goneAtMillis = Long.MAX_VALUE;
+    private long removedAtMillis = Long.MAX_VALUE;
     private long fullUntilMillis;
 
     /**
@@ -44,7 +44,7 @@
      */
     public void update(Target published) {
         target = published;
-        goneAtMillis = Long.MAX_VALUE;
+        removedAtMillis = Long.MAX_VALUE;
     }
 
     /**
@@ -99,7 +99,7 @@
      * @param atMillis steady time from which it counts as gone
      */
     public void markRemovedAt(long atMillis) {
-        goneAtMillis = Math.min(goneAtMillis, atMillis);
+        removedAtMillis = Math.min(removedAtMillis, atMillis);
     }
 
     /**
@@ -109,7 +109,7 @@
      * @return true when it counts as gone
      */
     public boolean removed(long nowMillis) {
-        return nowMillis >= goneAtMillis;
+        return nowMillis >= removedAtMillis;
     }
 
     /**
@@ -118,7 +118,7 @@
      * @param nowMillis steady time in milliseconds
      */
     public void recordFullRejection(long nowMillis) {
-        fullUntilMillis = nowMillis + FULL_PAUSE_MILLIS;
+        fullUntilMillis = nowMillis + FULL_BACKOFF_MILLIS;
     }
 
     /**
@@ -162,8 +162,8 @@
      * @param prefillTokens prompt tokens not yet read
      */
     public void updateRemoteLoad(int running, long prefillTokens) {
-        othersRunning = running;
-        othersPrefillTokens = prefillTokens;
+        remoteInFlight = running;
+        remotePrefillTokens = prefillTokens;
     }
 
     /**
@@ -191,7 +191,7 @@
      * @param prefillTokens prompt tokens not yet read
      */
     public void updateCoordinatedLoad(int running, long prefillTokens) {
-        coordinatedRunning = running;
+        coordinatedInFlight = running;
         coordinatedPrefillTokens = prefillTokens;
     }
 
@@ -202,7 +202,7 @@
      * @return requests of this and of other processes
      */
     public int inFlight() {
-        return Math.max(coordinatedRunning, localInFlight + othersRunning);
+        return Math.max(coordinatedInFlight, localInFlight + remoteInFlight);
     }
 
     /**
@@ -211,7 +211,7 @@
      * @return tokens of this and of other processes
      */
     public long pendingPrefillTokens() {
-        return Math.max(coordinatedPrefillTokens, localPrefillTokens + othersPrefillTokens);
+        return Math.max(coordinatedPrefillTokens, localPrefillTokens + remotePrefillTokens);
     }
 
     /**
