--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/CallerLimits.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/CallerLimits.java
@@ -1,14 +1,14 @@
 package org.whinwharf.traffic.catalog;
 
 /**
- * What a caller may send and how long it may take.
+ * Limits on the size and duration of a caller's requests.
  *
- * @param maxHeaderBytes most bytes of a request's head
- * @param maxBodyBytes most bytes of a request's body
- * @param headerTimeoutMillis longest time for a head to arrive
- * @param idleTimeoutMillis longest time a connection stays open without a request
+ * @param maxHeaderBytes maximum size of a request's headers, in bytes
+ * @param maxBodyBytes maximum size of a request's body, in bytes
+ * @param headerTimeoutMillis maximum time for the headers to arrive, in milliseconds
+ * @param idleTimeoutMillis maximum time a connection stays open without a request, in milliseconds
  */
 public record CallerLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
-    /** Limits before any catalog is known: those of common HTTP servers. */
+    /** Limits that apply until the first catalog is received; typical defaults of HTTP servers. */
     public static final CallerLimits DEFAULT = new CallerLimits(16_384, 4_194_304, 5_000, 15_000);
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Catalog.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Catalog.java
@@ -6,7 +6,11 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One version of what operators publish; immutable, so that a request in flight keeps the version it began with. */
+/**
+ * One version of the published configuration: routes, services, organisations and limits.
+ *
+ * <p>A catalog is immutable, so a request in flight keeps the version it started with.
+ */
 public final class Catalog {
     private final long version;
     private final CallerLimits limits;
@@ -16,13 +20,13 @@
     private final Map<String, Organisation> organisationsByKey = new HashMap<>();
 
     /**
-     * Creates a version.
+     * Creates a catalog.
      *
-     * @param version version number; the higher is the newer
-     * @param limits what callers may send
+     * @param version version number; a higher number is newer
+     * @param limits limits on callers' requests
      * @param routes all routes
      * @param services all services
-     * @param organisations all organisations; empty when no keys are asked for
+     * @param organisations all organisations; empty when callers need no keys
      */
     public Catalog(
             long version,
@@ -43,7 +47,7 @@
     }
 
     /**
-     * Returns the version.
+     * Returns the version number.
      *
      * @return version number
      */
@@ -52,7 +56,7 @@
     }
 
     /**
-     * Returns what callers may send.
+     * Returns the limits on callers' requests.
      *
      * @return limits
      */
@@ -61,11 +65,11 @@
     }
 
     /**
-     * Finds the route with the longest prefix that begins a path.
+     * Finds the route with the longest path prefix that matches a path.
      *
      * @param authority host name as the caller sent it, with or without port
      * @param path path without query
-     * @return the route; empty when none takes the path
+     * @return the route; empty when no route matches
      */
     public Optional<Route> route(String authority, String path) {
         HostRoutes routes = routesByHostName.get(hostName(authority));
@@ -76,17 +80,17 @@
      * Finds a service.
      *
      * @param name name of the service
-     * @return the service; empty when the catalog does not have it
+     * @return the service; empty when the catalog has no such service
      */
     public Optional<TargetService> service(String name) {
         return Optional.ofNullable(services.get(name));
     }
 
     /**
-     * Finds the organisation that holds a key.
+     * Finds the organisation that owns a key.
      *
-     * @param key key that a caller showed
-     * @return the organisation; empty when no organisation holds the key
+     * @param key key that a caller presented
+     * @return the organisation; empty when no organisation owns the key
      */
     public Optional<Organisation> organisationOfKey(String key) {
         return Optional.ofNullable(organisationsByKey.get(key));
@@ -102,7 +106,7 @@
     }
 
     /**
-     * Tells whether callers must show a key on routes that are not public.
+     * Returns whether callers must present a key on routes that are not public.
      *
      * @return true when the catalog has organisations
      */
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/HostRoutes.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/HostRoutes.java
@@ -4,24 +4,24 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The routes of one host name, by the prefixes of their paths. */
+/** The routes of one host name, indexed by path prefix. */
 final class HostRoutes {
     private static final char SEPARATOR = '/';
 
     private final Map<String, Route> byPrefix = new HashMap<>();
-    /** Separators of the longest prefix; a path has no matching prefix beyond so many. */
+    /** Largest number of separators in any prefix; limits how many prefixes of a path are looked up. */
     private int maxSeparators;
 
-    /** Adds a route; of two with one prefix the first takes the requests. */
+    /** Adds a route. If two routes have the same prefix, the first one added is used. */
     void add(Route route) {
         String prefix = route.pathPrefix();
         byPrefix.putIfAbsent(prefix, route);
         int separators =
-                (int) prefix.chars().filter(letter -> letter == SEPARATOR).count();
+                (int) prefix.chars().filter(character -> character == SEPARATOR).count();
         maxSeparators = Math.max(maxSeparators, separators);
     }
 
-    /** Finds the route with the longest prefix that begins a path. */
+    /** Finds the route with the longest path prefix that matches a path. */
     Optional<Route> find(String path) {
         Route longest = null;
         int end = path.indexOf(SEPARATOR);
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Organisation.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Organisation.java
@@ -15,7 +15,7 @@
     String name();
 
     /**
-     * Returns the keys its callers show.
+     * Returns the keys that its callers present.
      *
      * @return keys; secrets, never logged
      */
@@ -23,28 +23,28 @@
     Set<String> keys();
 
     /**
-     * Returns its own rank, which goes before the route's.
+     * Returns the organisation's tier rank, which takes precedence over the route's.
      *
-     * @return rank; empty when the route's rank holds
+     * @return rank; empty when only the route's rank applies
      */
     OptionalInt tierRank();
 
     /**
-     * Returns the usage it is allowed a second, over all processes.
+     * Returns the refill rate of its quota, summed over all processes.
      *
-     * @return tokens a second; 0 for no limit
+     * @return tokens per second; 0 for no limit
      */
     double quotaTokensPerSecond();
 
     /**
-     * Returns the usage it may save up.
+     * Returns the burst capacity of its quota: the most unused tokens that accumulate.
      *
      * @return tokens; 0 for none
      */
     double quotaBurstTokens();
 
     /**
-     * Returns what a request without a token count uses.
+     * Returns the quota tokens charged for a request that states no token count.
      *
      * @return tokens, 0 or more
      */
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Route.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/Route.java
@@ -6,11 +6,11 @@
 /** One route of the catalog. */
 @Value.Immutable
 public interface Route {
-    /** Odd factor close to the golden ratio of 2^64, which spreads neighbouring hash codes over all bits. */
+    /** Odd multiplier close to 2^64 divided by the golden ratio; spreads neighbouring hash codes over all bits. */
     long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
-    /** Bits of a number that a double holds exactly. */
+    /** Number of significant bits that a double represents exactly. */
     int DOUBLE_PRECISION_BITS = 53;
-    /** Bits of a long beyond these. */
+    /** Low-order bits of a long that do not fit into a double. */
     int DISCARDED_BITS = 64 - DOUBLE_PRECISION_BITS;
 
     /**
@@ -21,93 +21,93 @@
     String name();
 
     /**
-     * Returns the host name whose requests it takes.
+     * Returns the host name that the route matches.
      *
      * @return host name in lower case, without port
      */
     String hostName();
 
     /**
-     * Returns the beginning of the paths it takes.
+     * Returns the path prefix that the route matches.
      *
-     * @return path prefix that begins and ends with a slash
+     * @return prefix that begins and ends with a slash
      */
     String pathPrefix();
 
     /**
-     * Returns what its requests are.
+     * Returns the kind of its requests.
      *
      * @return kind
      */
     RouteKind kind();
 
     /**
-     * Returns the services that its requests go to.
+     * Returns the services that receive its requests.
      *
      * @return one or more services with weights
      */
     List<ServiceWeight> services();
 
     /**
-     * Returns the longest time a caller is kept waiting for the whole answer.
+     * Returns the time limit for a complete answer.
      *
      * @return time in milliseconds, above 0
      */
     long timeoutMillis();
 
     /**
-     * Returns the latency objective up to the answer, or to the first event of a stream.
+     * Returns the latency objective: the target time to the answer, or to the first event of a stream.
      *
      * @return time in milliseconds, above 0
      */
     long latencyObjectiveMillis();
 
     /**
-     * Returns the rank of its requests.
+     * Returns the tier rank of its requests.
      *
      * @return rank; 0 is served first
      */
     int tierRank();
 
     /**
-     * Returns the most targets that one request may be sent to.
+     * Returns the maximum number of targets to which one request is dispatched.
      *
      * @return attempts, 1 or more
      */
     int maxAttempts();
 
     /**
-     * Tells whether requests need no key.
+     * Returns whether requests need no key.
      *
-     * @return true when no key is asked for
+     * @return true when no key is required
      */
     boolean publicAccess();
 
     /**
-     * Tells whether its streams can be resumed at another target.
+     * Returns whether its streams can be resumed on another target.
      *
      * @return true when they can
      */
     boolean resumable();
 
     /**
-     * Returns the longest pause between events for which a stream is on time.
+     * Returns the maximum pause between events of a stream that meets the objective.
      *
-     * @return time in milliseconds; 0 when the route names none
+     * @return time in milliseconds; 0 when the route sets none
      */
     long gapObjectiveMillis();
 
     /**
-     * Tells whether a request may run again.
+     * Returns whether a request may be executed more than once.
      *
-     * @return true when a second run is allowed
+     * @return true when a second execution is allowed
      */
     default boolean idempotent() {
         return kind().idempotent(resumable());
     }
 
     /**
-     * Picks the service of one request by the weights; the same request always goes to the same one.
+     * Selects the service of a request according to the weights. Every attempt of a request selects the same service.
      *
      * @param attemptId id of the request
      * @return name of the service
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/RouteKind.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/RouteKind.java
@@ -1,22 +1,22 @@
 package org.whinwharf.traffic.catalog;
 
-/** What a route's requests are, and so how often they may run. */
+/** Kind of a route's requests; determines whether a request may be executed more than once. */
 public enum RouteKind {
-    /** Idempotent request with one whole answer. */
+    /** Idempotent request with a single complete answer. */
     SAFE {
         @Override
         public boolean idempotent(boolean resumable) {
             return true;
         }
     },
-    /** Request that may run at most once. */
+    /** Request that must be executed at most once. */
     UNSAFE {
         @Override
         public boolean idempotent(boolean resumable) {
             return false;
         }
     },
-    /** Request answered by an event stream; it may run again only where a stream can be resumed. */
+    /** Request answered by an event stream; it may be executed again only if the stream can be resumed. */
     STREAMING {
         @Override
         public boolean idempotent(boolean resumable) {
@@ -25,10 +25,10 @@
     };
 
     /**
-     * Tells whether a request may be sent to a second target after it may have run at a first.
+     * Returns whether a request may be dispatched to a second target after it may have been executed on the first.
      *
      * @param resumable true when the route's streams can be resumed
-     * @return true when a second run is allowed
+     * @return true when a second execution is allowed
      */
     public abstract boolean idempotent(boolean resumable);
 }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/TargetService.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/TargetService.java
@@ -2,7 +2,7 @@
 
 import org.immutables.value.Value;
 
-/** One service: targets that answer the same requests. */
+/** One service: a group of targets that answer the same requests. */
 @Value.Immutable
 public interface TargetService {
     /**
@@ -13,35 +13,35 @@
     String name();
 
     /**
-     * Returns the path of its targets' health check.
+     * Returns the path of the health check on its targets.
      *
      * @return path that begins with a slash
      */
     String healthPath();
 
     /**
-     * Returns the most connections one of its targets accepts from all processes together.
+     * Returns the maximum number of connections that one of its targets accepts from all processes together.
      *
      * @return connections, above 0
      */
     int maxConnections();
 
     /**
-     * Returns how long a started target stays cold.
+     * Returns how long a target stays cold after its start.
      *
      * @return time in milliseconds; 0 when its targets are never cold
      */
     long coldStartMillis();
 
     /**
-     * Returns the requests a second that a cold target bears from all processes together.
+     * Returns the request rate that a cold target sustains, summed over all processes.
      *
-     * @return rate; 0 when its targets are never cold
+     * @return requests per second; 0 when its targets are never cold
      */
     double coldRequestsPerSecond();
 
     /**
-     * Tells whether its targets are model engines.
+     * Returns whether its targets are model engines.
      *
      * @return true for engines, false for plain services
      */
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/TierRank.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/TierRank.java
@@ -3,24 +3,24 @@
 import java.util.OptionalInt;
 
 /**
- * Joins the rank of an organisation and that of a route into one.
+ * Combines the rank of an organisation and the rank of a route into one tier rank.
  *
- * <p>The organisation's goes first, and among organisations of one rank the route's decides. If the organisation's rank
- * simply replaced the route's, a fleet whose organisations all have the same rank would know no tiers at all, and in a
- * burst an inspector's summary would be refused as often as a check at the bin.
+ * <p>The organisation's rank takes precedence; the route's rank orders requests of organisations with equal rank. If
+ * the organisation's rank replaced the route's, a fleet whose organisations all have the same rank would have no tiers
+ * at all, and a burst would reject an inspector's summary as often as a check at the bin.
  */
 public final class TierRank {
-    /** Ranks that routes may have below one rank of organisations; more are taken together as the lowest. */
+    /** Number of distinct route ranks within one organisation rank; lower ranks are clamped to the lowest. */
     private static final int ROUTE_RANK_COUNT = 16;
 
     private TierRank() {}
 
     /**
-     * Joins two ranks.
+     * Combines two ranks.
      *
-     * @param organisationRank rank of the organisation; without one the route's stands in for it
+     * @param organisationRank rank of the organisation; if empty, the route's rank takes its place
      * @param routeRank rank of the route
-     * @return joint rank; 0 is served first
+     * @return combined rank; 0 is served first
      */
     public static int combine(OptionalInt organisationRank, int routeRank) {
         int route = Math.max(0, Math.min(ROUTE_RANK_COUNT - 1, routeRank));
@@ -28,20 +28,20 @@
     }
 
     /**
-     * Tells whether two joint ranks differ by the rank of the route only.
+     * Returns whether two combined ranks belong to organisations of the same rank.
      *
-     * @param oneRank joint rank
-     * @param otherRank joint rank
-     * @return true when their organisations have the same rank
+     * @param firstRank combined rank
+     * @param secondRank combined rank
+     * @return true when the ranks differ at most in the rank of the route
      */
-    public static boolean sameOrganisationRank(int oneRank, int otherRank) {
-        return oneRank / ROUTE_RANK_COUNT == otherRank / ROUTE_RANK_COUNT;
+    public static boolean sameOrganisationRank(int firstRank, int secondRank) {
+        return firstRank / ROUTE_RANK_COUNT == secondRank / ROUTE_RANK_COUNT;
     }
 
     /**
-     * Returns the rank of the route in a joint rank.
+     * Extracts the rank of the route from a combined rank.
      *
-     * @param tierRank joint rank
+     * @param tierRank combined rank
      * @return rank of the route
      */
     public static int routeRank(int tierRank) {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/package-info.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/catalog/package-info.java
@@ -1,2 +1,2 @@
-/** What operators publish: routes, services, organisations and limits, as immutable values. */
+/** The published configuration: routes, services, organisations and limits, as immutable values. */
 package org.whinwharf.traffic.catalog;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/items/ItemMirror.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/items/ItemMirror.java
@@ -14,13 +14,13 @@
 import java.util.stream.Stream;
 
 /**
- * This process's copy of the published items; it never goes back to an older revision.
+ * Local copy of the published items. It never reverts to an older revision.
  *
- * <p>It is filled by the publishing service or by a peer, whichever has the higher revision, and serves peers that lost
- * the service.
+ * <p>The mirror is updated from the publishing service or from a peer, whichever has the higher revision, and serves
+ * peers that cannot reach the service.
  */
 public final class ItemMirror {
-    /** Removals kept for peers that ask for what is new; older askers get everything. */
+    /** Number of removals retained for incremental updates; a peer with an older revision gets a full copy. */
     private static final int MAX_REMOVALS = 512;
 
     private final Map<String, PublishedValue> items = new HashMap<>();
@@ -28,11 +28,11 @@
     private final Map<String, PublishedValue> removals = new LinkedHashMap<>();
 
     private long revision;
-    /** Revision from which on all removals are known. */
+    /** Revision after which all removals are retained; removals up to it may have been dropped. */
     private long compactedRevision;
 
     /**
-     * Returns the revision up to which the copy is complete.
+     * Returns the revision up to which the mirror is complete.
      *
      * @return revision; 0 before the first copy
      */
@@ -41,11 +41,11 @@
     }
 
     /**
-     * Takes everything that is published.
+     * Replaces the contents with a full copy of the published items.
      *
-     * @param all all items
-     * @param atRevision revision up to which they are complete
-     * @return what changed, removals included; empty when the copy here is newer
+     * @param all all published items
+     * @param atRevision revision up to which the copy is complete
+     * @return changed items, removals included; empty when the mirror is newer than the copy
      */
     public List<PublishedValue> replace(Collection<PublishedValue> all, long atRevision) {
         if (atRevision < revision) {
@@ -74,19 +74,19 @@
     }
 
     /**
-     * Takes changes that follow the copy's revision.
+     * Applies changes that follow the mirror's revision. A change older than the stored item is skipped.
      *
      * @param events changes in order
-     * @param upToRevision revision up to which they are complete
-     * @return what changed here
+     * @param upToRevision revision up to which the changes are complete
+     * @return the changes that were applied
      */
     public List<PublishedValue> apply(Collection<PublishedValue> events, long upToRevision) {
         List<PublishedValue> changed = new ArrayList<>();
         for (PublishedValue event : events) {
             PublishedValue known = items.get(event.key());
-            // What is held may be newer than the copy's revision, since pages of a copy are read one after another.
-            long heldRevision = known == null ? revision : known.revision();
-            if (event.revision() > heldRevision && (known != null || !event.removed())) {
+            // A stored item may be newer than the mirror's revision because pages of a copy are read one after another.
+            long storedRevision = known == null ? revision : known.revision();
+            if (event.revision() > storedRevision && (known != null || !event.removed())) {
                 put(event);
                 changed.add(event);
             }
@@ -96,10 +96,11 @@
     }
 
     /**
-     * Returns what changed after a revision: of each item the newest state only.
+     * Returns the changes after a revision, with only the newest state of each item.
      *
-     * @param afterRevision revision that the asker holds
-     * @return items and removals by revision; empty when they are no longer known and the asker needs everything
+     * @param afterRevision revision that the requesting peer holds
+     * @return items and removals in order of revision; empty when removals since then are no longer retained and the
+     *     peer needs a full copy
      */
     public Optional<List<PublishedValue>> changesAfter(long afterRevision) {
         if (afterRevision < compactedRevision || afterRevision == 0) {
@@ -112,9 +113,9 @@
     }
 
     /**
-     * Returns everything.
+     * Returns all items.
      *
-     * @return all items
+     * @return items, in no order
      */
     public Collection<PublishedValue> all() {
         return items.values();
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/items/PublishedValue.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/items/PublishedValue.java
@@ -1,18 +1,18 @@
 package org.whinwharf.traffic.items;
 
 /**
- * One published item or its removal.
+ * A published item, or the removal of one.
  *
  * @param key the item's key
- * @param value its bytes, or null when it was removed; not copied, so neither side may change them
- * @param revision revision of its last change
+ * @param value the item's bytes, or null when it was removed; not copied, so the array must not be modified
+ * @param revision revision of the item's last change
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record PublishedValue(String key, byte[] value, long revision) {
     /**
-     * Tells whether this is a removal.
+     * Returns whether this is a removal.
      *
-     * @return true when the item is gone
+     * @return true when the item was removed
      */
     public boolean removed() {
         return value == null;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/items/package-info.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/items/package-info.java
@@ -1,2 +1,2 @@
-/** A local copy of the published items. */
+/** The local copy of the published items. */
 package org.whinwharf.traffic.items;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/member/Member.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/member/Member.java
@@ -3,10 +3,10 @@
 import org.whinwharf.wire.fleet.MemberReport;
 
 /**
- * What this process last heard of another one.
+ * The latest state received about another process.
  *
- * @param report the other's own words; its phase is the newest heard
- * @param heartbeatSequence sequence of its newest sign of life, which may be younger than the report
- * @param receivedAtMillis steady time at which that was news here
+ * @param report the process's report about itself, with its phase updated by newer heartbeats
+ * @param heartbeatSequence sequence number of its newest heartbeat, which may be newer than the report
+ * @param receivedAtMillis monotonic time in milliseconds at which this process received that heartbeat
  */
 public record Member(MemberReport report, long heartbeatSequence, long receivedAtMillis) {}
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/member/MemberTable.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/member/MemberTable.java
@@ -13,24 +13,27 @@
 import org.whinwharf.wire.fleet.MemberReport;
 
 /**
- * The processes of the fleet, by what they say of themselves and how long ago.
+ * Membership table: the processes of the fleet, with their latest reports and the age of their heartbeats.
  *
- * <p>A process that stops without a word is noticed by silence alone, on the steady clock of whoever listens, so a jump
- * of anyone's time of day changes nothing. A process that hears an older life of itself spoken of with a higher
- * incarnation than its own (its time of day stepped back between the lives) takes a higher one, or nobody would believe
- * it.
+ * <p>A process that stops without notice is detected by the lack of heartbeats, measured on the monotonic clock of the
+ * observer, so a jump of any process's wall clock has no effect. If the local process receives a report about an
+ * earlier run of itself with a higher incarnation (the wall clock stepped back between the runs), it adopts a still
+ * higher incarnation, because peers would otherwise ignore its reports as stale.
  */
 public final class MemberTable {
-    /** Silence after which a process is named to nobody: seven lost reports in a row. */
+    /**
+     * Time without a heartbeat after which a process is suspected and not offered to callers: seven consecutive lost
+     * reports.
+     */
     public static final long SUSPECT_TIMEOUT_MILLIS = 1_500;
-    /** The same in a large fleet, where a sign of life goes from hand to hand some five times. */
+    /** The same for a large fleet, where a heartbeat is forwarded about five times before it reaches every process. */
     public static final long LARGE_FLEET_SUSPECT_TIMEOUT_MILLIS = 3_000;
-    /** Processes from which on a fleet is large: below, each tells each other one directly. */
+    /** Number of processes from which a fleet is large; in a smaller fleet, every process reports to every other. */
     public static final int LARGE_FLEET_THRESHOLD = 12;
-    /** Silence after which a process no longer counts as part of the fleet: longer than a restart or a short cut. */
+    /** Time without a heartbeat after which a process is removed: longer than a restart or a short network outage. */
     public static final long EXPIRY_TIMEOUT_MILLIS = 20_000;
 
-    /** What is used beyond the strict part while processes are silent. */
+    /** Factor by which the reachable share exceeds the proportional share while processes are suspected. */
     private static final double SHARE_OVERCOMMIT_FACTOR = 1.2;
 
     private final Map<String, Entry> remoteMembers = new TreeMap<>();
@@ -38,25 +41,25 @@
     private MemberReport localReport;
 
     /**
-     * Creates a table that holds only this process.
+     * Creates a table that contains only this process.
      *
-     * @param own this process's first report
+     * @param localReport this process's first report
      */
-    public MemberTable(MemberReport own) {
-        this.localReport = own;
+    public MemberTable(MemberReport localReport) {
+        this.localReport = localReport;
     }
 
     /**
-     * Returns this process's own report.
+     * Returns this process's report.
      *
-     * @return the report as last made
+     * @return the latest report
      */
     public MemberReport localReport() {
         return localReport;
     }
 
     /**
-     * Makes the next report of this process.
+     * Replaces this process's report, keeping its incarnation and incrementing its sequence number.
      *
      * @param next report without incarnation and sequence
      */
@@ -67,11 +70,11 @@
     }
 
     /**
-     * Takes a report.
+     * Receives a report.
      *
-     * @param report what a process said of itself, heard from it or through another
-     * @param nowMillis steady time in milliseconds
-     * @return true when it is news
+     * @param report report of a process about itself, received directly or through another process
+     * @param nowMillis monotonic time in milliseconds
+     * @return true when the report updated the table
      */
     public boolean receive(MemberReport report, long nowMillis) {
         if (report.getName().equals(localReport.getName())) {
@@ -88,9 +91,9 @@
             put(new Member(report, report.getSequence(), nowMillis));
             return true;
         }
-        boolean older = report.getIncarnation() < known.report().getIncarnation()
+        boolean stale = report.getIncarnation() < known.report().getIncarnation()
                 || report.getSequence() <= known.report().getSequence();
-        if (older) {
+        if (stale) {
             return false;
         }
         if (report.getSequence() > known.heartbeatSequence()) {
@@ -104,47 +107,47 @@
     }
 
     /**
-     * Takes a sign of life that came without a report.
+     * Receives a heartbeat that came without a report.
      *
-     * @param beat the sign of life
-     * @param nowMillis steady time in milliseconds
-     * @return false when the lifetime that it is of is not known
+     * @param heartbeat the heartbeat
+     * @param nowMillis monotonic time in milliseconds
+     * @return false when the process or its incarnation is unknown
      */
-    public boolean receive(MemberHeartbeat beat, long nowMillis) {
-        if (beat.nameDigest() == localReport.getName().hashCode()) {
+    public boolean receive(MemberHeartbeat heartbeat, long nowMillis) {
+        if (heartbeat.nameDigest() == localReport.getName().hashCode()) {
             return true;
         }
-        Entry entry = entriesByNameDigest.get(beat.nameDigest());
-        if (entry == null || (int) entry.member.report().getIncarnation() != beat.incarnationDigest()) {
+        Entry entry = entriesByNameDigest.get(heartbeat.nameDigest());
+        if (entry == null || (int) entry.member.report().getIncarnation() != heartbeat.incarnationDigest()) {
             return false;
         }
         Member known = entry.member;
-        if (beat.sequence() > known.heartbeatSequence()) {
+        if (heartbeat.sequence() > known.heartbeatSequence()) {
             MemberReport report = known.report();
-            if (report.getPhase() != beat.phase()) {
-                report = report.toBuilder().setPhase(beat.phase()).build();
+            if (report.getPhase() != heartbeat.phase()) {
+                report = report.toBuilder().setPhase(heartbeat.phase()).build();
             }
-            entry.member = new Member(report, beat.sequence(), nowMillis);
+            entry.member = new Member(report, heartbeat.sequence(), nowMillis);
         }
         return true;
     }
 
     /**
-     * Returns the newest signs of life, this process's first.
+     * Returns the newest heartbeats, starting with this process's own.
      *
-     * @param most longest list
-     * @param nowMillis steady time in milliseconds
-     * @return signs of life
+     * @param maxCount maximum number of heartbeats
+     * @param nowMillis monotonic time in milliseconds
+     * @return heartbeats
      */
-    public List<MemberHeartbeat> heartbeats(int most, long nowMillis) {
-        List<MemberHeartbeat> beats = new ArrayList<>();
-        beats.add(toHeartbeat(localReport, localReport.getSequence()));
+    public List<MemberHeartbeat> heartbeats(int maxCount, long nowMillis) {
+        List<MemberHeartbeat> heartbeats = new ArrayList<>();
+        heartbeats.add(toHeartbeat(localReport, localReport.getSequence()));
         List<Member> newestFirst = alive(nowMillis);
         newestFirst.sort((left, right) -> Long.compare(right.receivedAtMillis(), left.receivedAtMillis()));
-        for (Member member : newestFirst.subList(0, Math.min(newestFirst.size(), most - 1))) {
-            beats.add(toHeartbeat(member.report(), member.heartbeatSequence()));
+        for (Member member : newestFirst.subList(0, Math.min(newestFirst.size(), maxCount - 1))) {
+            heartbeats.add(toHeartbeat(member.report(), member.heartbeatSequence()));
         }
-        return beats;
+        return heartbeats;
     }
 
     private static MemberHeartbeat toHeartbeat(MemberReport report, long sequence) {
@@ -160,39 +163,40 @@
     }
 
     /**
-     * Forgets processes that have been silent for long, and at once those that said that they leave.
+     * Removes processes whose heartbeats have been missing for the expiry timeout. A process that reported that it
+     * leaves is removed already after the suspect timeout.
      *
-     * @param nowMillis steady time in milliseconds
-     * @return names of those forgotten
+     * @param nowMillis monotonic time in milliseconds
+     * @return names of the removed processes
      */
     public List<String> expire(long nowMillis) {
-        List<String> forgotten = new ArrayList<>();
+        List<String> expired = new ArrayList<>();
         remoteMembers.values().removeIf(entry -> {
             Member member = entry.member;
-            long silentMillis = nowMillis - member.receivedAtMillis();
+            long silenceMillis = nowMillis - member.receivedAtMillis();
             boolean left =
-                    member.report().getPhase() == MemberPhase.MEMBER_LEAVING && silentMillis > SUSPECT_TIMEOUT_MILLIS;
-            boolean drop = left || silentMillis > EXPIRY_TIMEOUT_MILLIS;
-            if (drop) {
-                forgotten.add(member.report().getName());
+                    member.report().getPhase() == MemberPhase.MEMBER_LEAVING && silenceMillis > SUSPECT_TIMEOUT_MILLIS;
+            boolean expire = left || silenceMillis > EXPIRY_TIMEOUT_MILLIS;
+            if (expire) {
+                expired.add(member.report().getName());
                 entriesByNameDigest.remove(member.report().getName().hashCode());
             }
-            return drop;
+            return expire;
         });
-        return forgotten;
+        return expired;
     }
 
     /**
-     * Returns the other processes that are heard from.
+     * Returns the other processes that are not suspected.
      *
-     * @param nowMillis steady time in milliseconds
-     * @return members, in a list of the caller's own
+     * @param nowMillis monotonic time in milliseconds
+     * @return members, in a new modifiable list
      */
     public List<Member> alive(long nowMillis) {
-        long limitMillis = largeFleet() ? LARGE_FLEET_SUSPECT_TIMEOUT_MILLIS : SUSPECT_TIMEOUT_MILLIS;
+        long suspectTimeoutMillis = largeFleet() ? LARGE_FLEET_SUSPECT_TIMEOUT_MILLIS : SUSPECT_TIMEOUT_MILLIS;
         List<Member> alive = new ArrayList<>(remoteMembers.size());
         for (Entry entry : remoteMembers.values()) {
-            if (nowMillis - entry.member.receivedAtMillis() <= limitMillis) {
+            if (nowMillis - entry.member.receivedAtMillis() <= suspectTimeoutMillis) {
                 alive.add(entry.member);
             }
         }
@@ -200,7 +204,7 @@
     }
 
     /**
-     * Tells whether the fleet is too large for each to tell each other one directly.
+     * Returns whether the fleet is too large for every process to report to every other directly.
      *
      * @return true in a large fleet
      */
@@ -209,7 +213,7 @@
     }
 
     /**
-     * Returns all other processes, silent ones too.
+     * Returns all other processes, including suspected ones.
      *
      * @return members
      */
@@ -218,9 +222,9 @@
     }
 
     /**
-     * Returns the processes that callers may be sent to, this one first when it serves.
+     * Returns the reports of the processes that serve callers, starting with this process if it serves.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      * @return reports
      */
     public List<MemberReport> serving(long nowMillis) {
@@ -228,9 +232,9 @@
     }
 
     /**
-     * Returns the processes that serve, with their signs of life, this one first when it does.
+     * Returns the processes that serve callers, starting with this process if it serves.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      * @return members
      */
     public List<Member> servingMembers(long nowMillis) {
@@ -242,42 +246,43 @@
     }
 
     /**
-     * Draws from the processes that callers may be sent to; this one is among them when it serves.
+     * Returns a random sample of the processes that serve callers; it includes this process if it serves.
      *
-     * <p>Callers choose evenly among the names they are given. If a fleet larger than an answer always named the same
-     * processes, the rest would get no callers but those that ask them directly.
+     * <p>Callers spread evenly over the processes they are given. If an answer too small for the fleet always listed
+     * the same processes, the rest would serve only the callers that ask them directly.
      *
-     * @param nowMillis steady time in milliseconds
-     * @param most longest answer
-     * @param random draws when there are more
+     * @param nowMillis monotonic time in milliseconds
+     * @param maxCount maximum size of the sample
+     * @param random source of randomness, used when more processes serve
      * @return reports
      */
-    public List<MemberReport> sampleServing(long nowMillis, int most, Random random) {
+    public List<MemberReport> sampleServing(long nowMillis, int maxCount, Random random) {
         List<MemberReport> serving = serving(nowMillis);
-        if (serving.size() <= most) {
+        if (serving.size() <= maxCount) {
             return serving;
         }
-        boolean ownServes = localReport.getPhase() == MemberPhase.MEMBER_SERVING;
-        Collections.shuffle(serving.subList(ownServes ? 1 : 0, serving.size()), random);
-        return serving.subList(0, most);
+        boolean localServes = localReport.getPhase() == MemberPhase.MEMBER_SERVING;
+        Collections.shuffle(serving.subList(localServes ? 1 : 0, serving.size()), random);
+        return serving.subList(0, maxCount);
     }
 
     /**
-     * Returns which part of the fleet's refill this process and those it hears from may use.
+     * Returns the share of the fleet's quota refill that this process and the processes it can reach may use.
      *
-     * <p>Processes that are silent may be down and use nothing, or be cut off and use their part. A little more than
-     * the strict part is taken, since most silence is a restart; two halves of a fleet then use a fifth too much
-     * together, which is less than what a window of the quota is allowed to exceed it by.
+     * <p>A suspected process may be down and use nothing, or be on the other side of a network partition and use its
+     * share. The result is somewhat larger than the proportional share because most suspected processes are restarting.
+     * Two halves of a partitioned fleet then exceed the quota by a fifth together, which is less than the tolerance of
+     * a quota window.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      * @return share, this process included, above 0 and at most 1
      */
     public double reachableShare(long nowMillis) {
-        double strict = (1.0 + alive(nowMillis).size()) / (1.0 + remoteMembers.size());
-        return Math.min(1, strict * SHARE_OVERCOMMIT_FACTOR);
+        double proportionalShare = (1.0 + alive(nowMillis).size()) / (1.0 + remoteMembers.size());
+        return Math.min(1, proportionalShare * SHARE_OVERCOMMIT_FACTOR);
     }
 
-    /** Holds what was last heard of one process; signs of life come hundreds of times a second. */
+    /** Mutable holder of one member, so that heartbeats, hundreds per second, update no map. */
     private static final class Entry {
         private Member member;
     }
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/member/package-info.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/member/package-info.java
@@ -1,2 +1,2 @@
-/** The processes of the fleet, as each hears of the others. */
+/** Membership of the fleet: reports and heartbeats of its processes. */
 package org.whinwharf.traffic.member;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/QuotaAccount.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/QuotaAccount.java
@@ -1,23 +1,23 @@
 package org.whinwharf.traffic.quota;
 
 /**
- * One organisation's token bucket over all processes, as this process sees it.
+ * This process's view of one organisation's fleet-wide token bucket.
  *
- * <p>Every process keeps the whole bucket and subtracts what the others say they admitted. News is a fraction of a
- * second old, so a bucket may go below zero; the debt is then paid off before anything more is admitted, which keeps
- * the sum over any longer window to the quota. Processes that are not heard from may admit too: their part of the
- * refill is left to them, so that two halves of a parted fleet together stay within the quota.
+ * <p>Every process keeps the whole bucket and subtracts the usage that the other processes report. Reports are a
+ * fraction of a second old, so the level may fall below zero. The debt is paid off before further requests are
+ * admitted, which keeps usage over any longer window within the quota. Unreachable processes may admit requests too, so
+ * their share of the refill is left to them and two halves of a partitioned fleet stay within the quota together.
  */
 public final class QuotaAccount {
-    /** Part of the burst that a process begins with when it cannot know what its predecessor admitted. */
+    /** Share of the burst available at a restart, when the usage admitted before the restart is unknown. */
     private static final double RESTART_BURST_SHARE = 0.5;
     /**
-     * Even parts of the rate that a process may use alone: callers spread unevenly over processes, and what all
-     * overspend in a second of old news, some one and a half seconds' rate, is within what a window of eight seconds
-     * may exceed the quota by.
+     * Multiple of a process's equal share of the rate that it may admit without a coordinator. It exceeds one because
+     * callers spread unevenly over processes. While reports are a second old, the fleet overspends by about one and a
+     * half seconds' rate, which is within the tolerance of a quota window of eight seconds.
      */
     private static final double UNCOORDINATED_RATE_SHARES = 2;
-    /** Time for which unused pace is saved up. */
+    /** Time over which the unused rate of uncoordinated admission accumulates. */
     private static final double UNCOORDINATED_BURST_SECONDS = 0.25;
 
     private double ratePerSecond;
@@ -32,10 +32,10 @@
     /**
      * Creates an account.
      *
-     * @param ratePerSecond refill, above 0
-     * @param burst most that can be saved up
+     * @param ratePerSecond refill rate in tokens per second, above 0
+     * @param burst bucket capacity in tokens
      * @param freshFleet true when the whole fleet starts for the first time
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public QuotaAccount(double ratePerSecond, double burst, boolean freshFleet, long nowMillis) {
         this.ratePerSecond = ratePerSecond;
@@ -45,11 +45,11 @@
     }
 
     /**
-     * Takes a new quota.
+     * Applies a new quota.
      *
-     * @param newRatePerSecond refill, above 0
-     * @param newBurst most that can be saved up
-     * @param nowMillis steady time in milliseconds
+     * @param newRatePerSecond refill rate in tokens per second, above 0
+     * @param newBurst bucket capacity in tokens
+     * @param nowMillis monotonic time in milliseconds
      */
     public void update(double newRatePerSecond, double newBurst, long nowMillis) {
         refill(nowMillis);
@@ -59,10 +59,10 @@
     }
 
     /**
-     * Sets which part of the fleet this process hears from, itself included.
+     * Sets the share of the refill that the reachable part of the fleet, this process included, may use.
      *
      * @param share above 0, at most 1
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void updateReachableShare(double share, long nowMillis) {
         refill(nowMillis);
@@ -70,10 +70,10 @@
     }
 
     /**
-     * Admits a request if the quota allows it.
+     * Admits a request if the level is above zero.
      *
-     * @param tokens what the request uses
-     * @param nowMillis steady time in milliseconds
+     * @param tokens tokens that the request uses
+     * @param nowMillis monotonic time in milliseconds
      * @return true when it is admitted
      */
     public boolean tryAdmit(long tokens, long nowMillis) {
@@ -87,20 +87,21 @@
     }
 
     /**
-     * Admits a request without a coordinator, if the quota and this process's own pace allow it. In a large fleet news
-     * of what the others admit is a second old or more; when one organisation floods all processes at once, each would
-     * take the same tokens from its bucket before it hears of the rest.
+     * Admits a request without a coordinator, if both the quota and this process's own rate limit allow it. In a large
+     * fleet, reports of remote usage are a second old or more. If one organisation floods all processes at once, each
+     * process would otherwise admit against the same tokens before it receives the other processes' reports.
      *
-     * @param tokens what the request uses
-     * @param processes processes that admit
-     * @param nowMillis steady time in milliseconds
+     * @param tokens tokens that the request uses
+     * @param processes number of processes that admit requests
+     * @param nowMillis monotonic time in milliseconds
      * @return true when it is admitted
      */
     public boolean tryAdmitUncoordinated(long tokens, int processes, long nowMillis) {
-        double pacePerSecond = ratePerSecond * UNCOORDINATED_RATE_SHARES / processes;
+        double uncoordinatedRatePerSecond = ratePerSecond * UNCOORDINATED_RATE_SHARES / processes;
         uncoordinatedLevel = Math.min(
-                pacePerSecond * UNCOORDINATED_BURST_SECONDS,
-                uncoordinatedLevel + pacePerSecond * (nowMillis - uncoordinatedRefilledAtMillis) / 1_000.0);
+                uncoordinatedRatePerSecond * UNCOORDINATED_BURST_SECONDS,
+                uncoordinatedLevel
+                        + uncoordinatedRatePerSecond * (nowMillis - uncoordinatedRefilledAtMillis) / 1_000.0);
         uncoordinatedRefilledAtMillis = nowMillis;
         if (uncoordinatedLevel <= 0) {
             rejectedBacklogTokens += tokens;
@@ -114,19 +115,19 @@
     }
 
     /**
-     * Gives back what a request used that has not run.
+     * Refunds the tokens of an admitted request that was not executed.
      *
-     * @param tokens what was admitted
+     * @param tokens tokens that were admitted
      */
     public void refund(long tokens) {
         level = Math.min(burst, level + tokens);
     }
 
     /**
-     * Takes what another process admitted.
+     * Subtracts tokens that another process admitted.
      *
-     * @param tokens tokens since it was last heard of
-     * @param nowMillis steady time in milliseconds
+     * @param tokens tokens admitted since its previous report
+     * @param nowMillis monotonic time in milliseconds
      */
     public void recordRemoteAdmission(long tokens, long nowMillis) {
         refill(nowMillis);
@@ -134,24 +135,24 @@
     }
 
     /**
-     * Returns when a caller that was just refused should come back: once the debt is paid and those refused here before
-     * it have had their turn. Callers that were all told the same moment would come back together and most be refused
-     * again.
+     * Returns the Retry-After delay for a caller that was just rejected: the time until the debt is paid off and the
+     * callers rejected here before it have had their turn. If all callers got the same delay, they would retry together
+     * and most would be rejected again.
      *
-     * @param processes processes that admit from the same quota
+     * @param processes number of processes that admit from the same quota
      * @return time in milliseconds
      */
     public long retryAfterMillis(int processes) {
-        double ownRate = ratePerSecond / Math.max(1, processes);
+        double localRatePerSecond = ratePerSecond / Math.max(1, processes);
         double debtSeconds = Math.max(0, -level) / ratePerSecond;
-        return (long) ((debtSeconds + rejectedBacklogTokens / ownRate) * 1_000) + 1;
+        return (long) ((debtSeconds + rejectedBacklogTokens / localRatePerSecond) * 1_000) + 1;
     }
 
     /**
-     * Returns what is left.
+     * Returns the level of the bucket.
      *
-     * @param nowMillis steady time in milliseconds
-     * @return tokens; below 0 a debt that is paid off first
+     * @param nowMillis monotonic time in milliseconds
+     * @return tokens; a negative level is a debt that is paid off first
      */
     public long levelTokens(long nowMillis) {
         refill(nowMillis);
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/QuotaLedger.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/QuotaLedger.java
@@ -6,7 +6,7 @@
 import org.whinwharf.traffic.catalog.Organisation;
 import org.whinwharf.traffic.member.MemberTable;
 
-/** Quota accounts of all organisations, with the totals that this process tells the others. */
+/** Quota accounts of all organisations, and the totals of admitted tokens that this process reports to the others. */
 public final class QuotaLedger {
     private static final long NO_BASELINE = -1;
 
@@ -21,13 +21,14 @@
     private int processCount = 1;
 
     /**
-     * What the present lifetime of one process said that it admitted, by digest of the organisation's name.
+     * Admitted totals reported by the current incarnation of one process, by digest of the organisation's name.
      *
-     * @param baselineAtMillis time at which its totals date from before this process knew it; negative for none
+     * @param baselineAtMillis time at which the process was first seen; the totals received at that time date from
+     *     before and are not charged; negative for none
      */
     private record ProcessTotals(long incarnation, long baselineAtMillis, Map<Integer, Long> totals) {}
 
-    /** Use that was taken from an account here for a process that will say later that it admitted it. */
+    /** Identifies tokens already charged here for a process that will include them in a later report. */
     private record PendingAdmissionKey(String process, int organisationDigest) {}
 
     /**
@@ -40,10 +41,10 @@
     }
 
     /**
-     * Takes the quotas of a new catalog.
+     * Applies the quotas of a new catalog.
      *
-     * @param catalog the catalog
-     * @param nowMillis steady time in milliseconds
+     * @param catalog the new catalog
+     * @param nowMillis monotonic time in milliseconds
      */
     public void update(Catalog catalog, long nowMillis) {
         for (Organisation organisation : catalog.organisations()) {
@@ -66,11 +67,11 @@
     }
 
     /**
-     * Admits a request if its organisation's quota allows it.
+     * Admits a request if its organisation's quota allows it. An organisation without a quota is always admitted.
      *
      * @param organisation name of the organisation
-     * @param tokens what the request uses
-     * @param nowMillis steady time in milliseconds
+     * @param tokens tokens that the request uses
+     * @param nowMillis monotonic time in milliseconds
      * @return true when it is admitted
      */
     public boolean tryAdmit(String organisation, long tokens, long nowMillis) {
@@ -83,11 +84,11 @@
     }
 
     /**
-     * Admits a request for which no coordinator can be asked, in a large fleet at this process's own pace.
+     * Admits a request without a coordinator. In a large fleet, this process's own rate limit applies too.
      *
      * @param organisation name of the organisation
-     * @param tokens what the request uses
-     * @param nowMillis steady time in milliseconds
+     * @param tokens tokens that the request uses
+     * @param nowMillis monotonic time in milliseconds
      * @return true when it is admitted
      */
     public boolean tryAdmitUncoordinated(String organisation, long tokens, long nowMillis) {
@@ -103,17 +104,17 @@
     }
 
     private void addToTotal(int digest, long tokens) {
-        long unused = Math.min(tokens, refundedTokens.getOrDefault(digest, 0L));
-        refundedTokens.merge(digest, -unused, Long::sum);
-        admittedTotals.merge(digest, tokens - unused, Long::sum);
+        long refunded = Math.min(tokens, refundedTokens.getOrDefault(digest, 0L));
+        refundedTokens.merge(digest, -refunded, Long::sum);
+        admittedTotals.merge(digest, tokens - refunded, Long::sum);
     }
 
     /**
-     * Gives back the use of a request that has not run. The total told to others only grows, so they learn of it as a
-     * smaller growth.
+     * Refunds the tokens of an admitted request that was not executed. The reported total never decreases, so the
+     * refund reaches the other processes as a smaller increase.
      *
      * @param organisation name of the organisation
-     * @param tokens what was admitted
+     * @param tokens tokens that were admitted
      */
     public void refund(String organisation, long tokens) {
         QuotaAccount account = accounts.get(organisation);
@@ -124,7 +125,7 @@
     }
 
     /**
-     * Returns when a caller of a refused organisation should come back.
+     * Returns the Retry-After delay for a rejected caller of an organisation.
      *
      * @param organisation name of the organisation
      * @return time in milliseconds; 0 when it has no quota
@@ -135,11 +136,11 @@
     }
 
     /**
-     * Returns what is left of an organisation's quota.
+     * Returns the level of an organisation's bucket.
      *
      * @param organisation name of the organisation
-     * @param nowMillis steady time in milliseconds
-     * @return tokens, below 0 a debt; 0 when it has no quota
+     * @param nowMillis monotonic time in milliseconds
+     * @return tokens; negative for a debt; 0 when it has no quota
      */
     public long levelTokens(String organisation, long nowMillis) {
         QuotaAccount account = accounts.get(organisation);
@@ -147,7 +148,7 @@
     }
 
     /**
-     * Returns what this process admitted since its start.
+     * Returns the tokens that this process admitted since its start.
      *
      * @return totals by digest of the organisation's name
      */
@@ -156,52 +157,53 @@
     }
 
     /**
-     * Takes another process's total. A new lifetime of the process replaces the one before, whose use is counted
-     * already. The first totals of a process that was not known are those of its whole life: a restarted process that
-     * took them for news would owe half a minute's quota and refuse everybody until that is paid off.
+     * Receives another process's admitted total. A new incarnation of a process replaces the previous one, whose usage
+     * is already charged. The first totals of an unknown process cover its whole uptime and only set the baseline. A
+     * restarted process that charged them would have a debt of half a minute's quota and reject every request until it
+     * is paid off.
      *
      * @param process name of the process
-     * @param incarnation its lifetime
+     * @param incarnation incarnation of the process
      * @param organisationDigest digest of the organisation's name
-     * @param total what it admitted since its start
-     * @param nowMillis steady time in milliseconds
+     * @param total tokens that it admitted since its start
+     * @param nowMillis monotonic time in milliseconds
      */
     public void receiveTotal(String process, long incarnation, int organisationDigest, long total, long nowMillis) {
-        ProcessTotals heard = totalsByProcess.get(process);
-        if (heard == null) {
-            heard = new ProcessTotals(incarnation, nowMillis, new HashMap<>());
-            totalsByProcess.put(process, heard);
-        } else if (heard.incarnation() != incarnation) {
-            heard = new ProcessTotals(incarnation, NO_BASELINE, new HashMap<>());
-            totalsByProcess.put(process, heard);
-            pendingAdmissions.keySet().removeIf(advance -> advance.process().equals(process));
+        ProcessTotals processTotals = totalsByProcess.get(process);
+        if (processTotals == null) {
+            processTotals = new ProcessTotals(incarnation, nowMillis, new HashMap<>());
+            totalsByProcess.put(process, processTotals);
+        } else if (processTotals.incarnation() != incarnation) {
+            processTotals = new ProcessTotals(incarnation, NO_BASELINE, new HashMap<>());
+            totalsByProcess.put(process, processTotals);
+            pendingAdmissions.keySet().removeIf(key -> key.process().equals(process));
         }
-        long before = heard.totals().getOrDefault(organisationDigest, 0L);
-        if (total <= before) {
+        long previousTotal = processTotals.totals().getOrDefault(organisationDigest, 0L);
+        if (total <= previousTotal) {
             return;
         }
-        heard.totals().put(organisationDigest, total);
-        if (before == 0 && heard.baselineAtMillis() == nowMillis) {
+        processTotals.totals().put(organisationDigest, total);
+        if (previousTotal == 0 && processTotals.baselineAtMillis() == nowMillis) {
             return;
         }
         String name = organisationNamesByDigest.get(organisationDigest);
         QuotaAccount account = name == null ? null : accounts.get(name);
         if (account != null) {
-            long taken = Math.min(
-                    total - before,
+            long alreadyCharged = Math.min(
+                    total - previousTotal,
                     pendingAdmissions.getOrDefault(new PendingAdmissionKey(process, organisationDigest), 0L));
-            pendingAdmissions.merge(new PendingAdmissionKey(process, organisationDigest), -taken, Long::sum);
-            account.recordRemoteAdmission(total - before - taken, nowMillis);
+            pendingAdmissions.merge(new PendingAdmissionKey(process, organisationDigest), -alreadyCharged, Long::sum);
+            account.recordRemoteAdmission(total - previousTotal - alreadyCharged, nowMillis);
         }
     }
 
     /**
-     * Admits a request of another process, for which this one coordinates.
+     * Admits a request of another process, for which this process is the coordinator.
      *
      * @param process name of the process
      * @param organisation name of the organisation
-     * @param tokens what the request uses
-     * @param nowMillis steady time in milliseconds
+     * @param tokens tokens that the request uses
+     * @param nowMillis monotonic time in milliseconds
      * @return true when it is admitted
      */
     public boolean tryAdmitFor(String process, String organisation, long tokens, long nowMillis) {
@@ -217,11 +219,11 @@
     }
 
     /**
-     * Gives back what a request of another process used that is not sent.
+     * Refunds the tokens of another process's request that is not dispatched.
      *
      * @param process name of the process
      * @param organisation name of the organisation
-     * @param tokens what was admitted
+     * @param tokens tokens that were admitted
      */
     public void refundFor(String process, String organisation, long tokens) {
         QuotaAccount account = accounts.get(organisation);
@@ -232,11 +234,12 @@
     }
 
     /**
-     * Notes a request of this process that a coordinator elsewhere admitted, so that all others hear of it too.
+     * Records a request of this process that a remote coordinator admitted, and adds it to the total that is reported
+     * to the other processes.
      *
      * @param organisation name of the organisation
-     * @param tokens what it uses
-     * @param nowMillis steady time in milliseconds
+     * @param tokens tokens that the request uses
+     * @param nowMillis monotonic time in milliseconds
      */
     public void recordCoordinatorAdmission(String organisation, long tokens, long nowMillis) {
         QuotaAccount account = accounts.get(organisation);
@@ -247,19 +250,19 @@
     }
 
     /**
-     * Sets how many processes admit requests.
+     * Sets the number of processes that admit requests.
      *
-     * @param count processes that are heard from, this one included
+     * @param count reachable processes, this one included
      */
     public void updateProcessCount(int count) {
         processCount = count;
     }
 
     /**
-     * Sets which part of the fleet this process hears from, itself included.
+     * Sets the share of the refill that the reachable part of the fleet, this process included, may use.
      *
      * @param share above 0, at most 1
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void updateReachableShare(double share, long nowMillis) {
         if (share != reachableShare) {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/package-info.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/quota/package-info.java
@@ -1,2 +1,2 @@
-/** Usage quotas of organisations over all processes. */
+/** Fleet-wide usage quotas of organisations. */
 package org.whinwharf.traffic.quota;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/retry/RetryBudget.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/retry/RetryBudget.java
@@ -4,14 +4,14 @@
 import java.util.Deque;
 
 /**
- * Bounds the requests that this process sends a second time.
+ * Limits the retries of this process.
  *
- * <p>When a service fails, repeats multiply its load just then. The bound over the whole fleet is a share of the
- * requests plus a fixed allowance. Each process keeps to that share of its own requests and to its part of the
- * allowance, so the sum holds without any word between processes.
+ * <p>When a service fails, retries multiply its load at the worst time. The fleet-wide limit is a ratio of the requests
+ * plus a fixed allowance. Each process applies the ratio to its own requests and uses its part of the allowance, so the
+ * limit holds without communication between processes.
  */
 public final class RetryBudget {
-    /** Part of the allowed share that is used; the rest is slack for requests that ended elsewhere in the window. */
+    /** Part of the allowed ratio that is used; the rest is slack for requests that ended elsewhere in the window. */
     private static final double RATIO_UTILISATION = 0.7;
 
     private final double ratio;
@@ -22,8 +22,8 @@
     /**
      * Creates a budget.
      *
-     * @param ratio repeats for each request, over the whole fleet
-     * @param windowMillis window in which both are counted
+     * @param ratio maximum retries per request, over the whole fleet
+     * @param windowMillis window in milliseconds over which requests and retries are counted
      */
     public RetryBudget(double ratio, long windowMillis) {
         this.ratio = ratio;
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Notes a caller's request.
+     * Records a caller's request.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void recordRequest(long nowMillis) {
         requestsAtMillis.addLast(nowMillis);
@@ -41,11 +41,11 @@
     }
 
     /**
-     * Takes one repeat from the budget.
+     * Takes one retry from the budget.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      * @param allowance this process's part of the fixed allowance
-     * @return true when the repeat may be sent
+     * @return true when the retry may be sent
      */
     public boolean tryRetry(long nowMillis, double allowance) {
         expire(nowMillis);
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/retry/package-info.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/retry/package-info.java
@@ -1,2 +1,2 @@
-/** The budget of repeated dispatches. */
+/** The retry budget. */
 package org.whinwharf.traffic.retry;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/ColdStartLimiter.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/ColdStartLimiter.java
@@ -4,36 +4,37 @@
 import java.util.Deque;
 
 /**
- * Bounds what this process sends to one cold target.
+ * Limits the rate at which this process dispatches requests to one cold target.
  *
- * <p>A cold target falls over when all processes together send it more than it bears in a second, and nobody sees the
- * sum in time. So a few processes, chosen by rendezvous hashing, may send to it at all, each a fixed share; one more
- * process that chose itself from an older list of members still leaves the sum within the bound.
+ * <p>A cold target fails when all processes together send it more requests per second than it sustains, and no process
+ * sees the sum in time. Therefore only a few processes, selected by rendezvous hashing, may dispatch to it, each with a
+ * fixed share. One additional process that selected itself from a stale member list still leaves the sum within the
+ * limit.
  */
 public final class ColdStartLimiter {
-    /** Window of the bound, with 200 ms added for requests of one second that arrive bunched. */
+    /** Window of the limit: one second plus 200 ms, because requests of one second may arrive bunched. */
     private static final long WINDOW_MILLIS = 1_200;
 
     private final Deque<Long> dispatchedAtMillis = new ArrayDeque<>();
 
     /**
-     * Tells whether one more request may go to the target now.
+     * Returns whether one more request may be dispatched to the target now.
      *
-     * @param nowMillis steady time in milliseconds
-     * @param mostInWindow most requests this process may send in a second
-     * @return true when there is room
+     * @param nowMillis monotonic time in milliseconds
+     * @param maxInWindow maximum number of requests that this process may dispatch per second
+     * @return true when the limit is not reached
      */
-    public boolean hasCapacity(long nowMillis, int mostInWindow) {
+    public boolean hasCapacity(long nowMillis, int maxInWindow) {
         while (!dispatchedAtMillis.isEmpty() && nowMillis - dispatchedAtMillis.peekFirst() > WINDOW_MILLIS) {
             dispatchedAtMillis.removeFirst();
         }
-        return dispatchedAtMillis.size() < mostInWindow;
+        return dispatchedAtMillis.size() < maxInWindow;
     }
 
     /**
-     * Notes a request that was sent.
+     * Records a dispatched request.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void recordDispatch(long nowMillis) {
         dispatchedAtMillis.addLast(nowMillis);
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/PromptCacheIndex.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/PromptCacheIndex.java
@@ -5,33 +5,35 @@
 import java.util.Map;
 
 /**
- * Where each prompt was read, as far as this process knows.
+ * Index of the targets that recently prefilled each prompt, as far as this process knows.
  *
- * <p>At high load the one engine that read a prompt last mostly has no free slot, so all that read it lately are
- * remembered. Bounded: a lost entry costs one prompt that is read again, nothing more.
+ * <p>At high load, the engine that prefilled a prompt last usually has no free slot, so the index keeps all engines
+ * that prefilled it recently. Its size is limited; a lost entry costs only one repeated prefill.
  */
 public final class PromptCacheIndex {
-    /** Prompts remembered; ten times the subjects that a fleet of ninety sees within the time of keeping. */
+    /** Maximum number of prompts: ten times the subjects that a fleet of ninety sees within the retention time. */
     private static final int MAX_PROMPTS = 4_000;
-    /** Targets remembered for each prompt: at one free slot in six, some of eight is free four times in five. */
+    /**
+     * Maximum targets per prompt: if one slot in six is free, at least one of eight targets has one four times in five.
+     */
     private static final int MAX_TARGETS_PER_PROMPT = 8;
     /**
-     * Time for which an engine is taken to keep a prompt: its memory holds some seventy of the longest, and at full
-     * load it reads three a second.
+     * Time for which an engine is assumed to cache a prompt: its memory holds about seventy of the longest prompts, and
+     * at full load it prefills three per second.
      */
     private static final long CACHE_RETENTION_MILLIS = 20_000;
 
     private final Map<String, Map<String, Long>> prefilledAtMillis = new LruMap<>(MAX_PROMPTS);
 
-    /** A map that drops what was used least recently. */
+    /** A bounded map that evicts the least recently used entry. */
     private static final class LruMap<V> extends LinkedHashMap<String, V> {
         private static final long serialVersionUID = 1L;
 
         private final int maxEntries;
 
-        LruMap(int most) {
+        LruMap(int maxEntries) {
             super(16, 0.75f, true);
-            this.maxEntries = most;
+            this.maxEntries = maxEntries;
         }
 
         @Override
@@ -41,11 +43,11 @@
     }
 
     /**
-     * Notes that a target reads a prompt.
+     * Records that a target prefills a prompt.
      *
      * @param parts the prompt's parts, in order
      * @param targetId id of the target
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void recordPrefill(List<PromptPart> parts, String targetId, long nowMillis) {
         if (!parts.isEmpty()) {
@@ -56,25 +58,25 @@
     }
 
     /**
-     * Estimates how much of a prompt a target has to read.
+     * Estimates how many tokens of a prompt a target has to prefill.
      *
      * @param parts the prompt's parts, in order
      * @param promptTokens length of the whole prompt
      * @param targetId id of the target
-     * @param nowMillis steady time in milliseconds
-     * @return tokens
+     * @param nowMillis monotonic time in milliseconds
+     * @return number of tokens that the target is not assumed to have cached
      */
     public long uncachedTokens(List<PromptPart> parts, long promptTokens, String targetId, long nowMillis) {
         if (parts.isEmpty()) {
             return promptTokens;
         }
-        Long atMillis =
+        Long lastPrefillMillis =
                 prefilledAtMillis.getOrDefault(last(parts).id(), Map.of()).get(targetId);
-        if (atMillis != null && nowMillis - atMillis <= CACHE_RETENTION_MILLIS) {
+        if (lastPrefillMillis != null && nowMillis - lastPrefillMillis <= CACHE_RETENTION_MILLIS) {
             return 0;
         }
-        long shared = parts.size() > 1 ? parts.get(0).tokens() : 0;
-        return Math.max(0, promptTokens - shared);
+        long sharedTokens = parts.size() > 1 ? parts.get(0).tokens() : 0;
+        return Math.max(0, promptTokens - sharedTokens);
     }
 
     private static PromptPart last(List<PromptPart> parts) {
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/Target.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/Target.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import org.immutables.value.Value;
 
-/** One published target: a single lifetime of an engine or of a plain service's process. */
+/** One published target: a single run of an engine or of a plain service's process. */
 @Value.Immutable
 public interface Target {
     /**
@@ -14,72 +14,72 @@
     String id();
 
     /**
-     * Returns the service it serves.
+     * Returns the service to which the target belongs.
      *
      * @return name of the service
      */
     String service();
 
     /**
-     * Returns the IP number it listens on.
+     * Returns the IP address on which the target listens.
      *
      * @return IPv4 address
      */
     String ip();
 
     /**
-     * Returns the port it listens on.
+     * Returns the port on which the target listens.
      *
      * @return TCP port
      */
     int port();
 
     /**
-     * Returns the data centre it stands in.
+     * Returns the data centre in which the target runs.
      *
      * @return name of the data centre
      */
     String dataCentre();
 
     /**
-     * Returns how many requests it processes at once.
+     * Returns the number of requests that the target processes concurrently.
      *
      * @return slots, 1 or more
      */
     int slots();
 
     /**
-     * Tells whether it is leaving and must get nothing new.
+     * Returns whether the target is draining and must get no new requests.
      *
-     * @return true when it is leaving
+     * @return true when it is draining
      */
     boolean draining();
 
     /**
-     * Returns how long it stays cold, by its own last word.
+     * Returns how long the target stays cold, as it published last.
      *
-     * @return time in milliseconds from when that was published; 0 when warm
+     * @return time in milliseconds from the publication; 0 when warm
      */
     long coldRemainingMillis();
 
     /**
-     * Returns when it started.
+     * Returns when the target started.
      *
-     * @return Unix time in milliseconds; 0 when it was not published
+     * @return Unix time in milliseconds; 0 when not published
      */
     long startedUnixMillis();
 
     /**
-     * Returns the models it has loaded.
+     * Returns the models that the target has loaded.
      *
      * @return names; empty for plain services
      */
     Set<String> models();
 
     /**
-     * Returns its address.
+     * Returns the target's address.
      *
-     * @return IP number and port, joined by a colon
+     * @return IP address and port, separated by a colon
      */
     @Value.Derived
     default String address() {
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Returns a short digest of the id that processes use when they speak of the target.
+     * Returns a short digest of the id, with which processes refer to the target in messages.
      *
      * @return digest
      */
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetHealth.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetHealth.java
@@ -1,26 +1,26 @@
 package org.whinwharf.traffic.target;
 
 /**
- * Passive health of one target: what its answers to this process's own requests show.
+ * Passive health check and circuit breaker of one target, based on its answers to this process's requests.
  *
- * <p>A target that answers health checks may still fail requests, so only requests count against it. After a series of
- * failures it is ejected for a while that doubles up to a bound, and it returns through one probe, since a target that
- * was restarted in between is cold and would fall over under its full share. A target that hangs may pass its probe:
- * until one of its requests begins to be answered, it gets one at a time, so that each return costs a request or two
- * and not a full set of slots.
+ * <p>A target that passes health checks may still fail requests, so only requests count against it. After repeated
+ * failures the target is ejected for a time that doubles up to a limit. It returns only after a successful probe,
+ * because a target that was restarted meanwhile is cold and would fail under its full share of requests. A target that
+ * hangs may pass its probe, so it is then on trial (the half-open state of a circuit breaker): it gets one request at a
+ * time until an answer starts. A return of a hung target thus costs one or two requests and not a full set of slots.
  */
 public final class TargetHealth {
-    /** Failures in a row that eject; two, since one lost connection happens to sound targets. */
+    /** Consecutive failures that eject a target. A single lost connection also happens on healthy targets. */
     private static final int CONSECUTIVE_FAILURE_THRESHOLD = 2;
-    /** Share of failures among the last answers that ejects even when successes lie between. */
+    /** Share of failures among recent answers that ejects a target even if successes lie between them. */
     private static final double FAILURE_SHARE_THRESHOLD = 0.5;
-    /** Weight of the newest answer in the share: the memory is about eight answers. */
+    /** Weight of the newest answer in the moving average of failures, which spans about eight answers. */
     private static final double SMOOTHING_FACTOR = 0.12;
-    /** First time out of use; about the time a crashed target needs to come back. */
+    /** Duration of the first ejection: about the time that a crashed target needs to restart. */
     private static final long INITIAL_EJECTION_MILLIS = 500;
-    /** Time between requests to a target on trial: most first events come within it. */
+    /** Interval between requests to a target on trial: most first events arrive within it. */
     private static final long TRIAL_INTERVAL_MILLIS = 500;
-    /** Longest time out of use: a recovered target is back within this. */
+    /** Maximum duration of an ejection: a recovered target is used again within this time. */
     private static final long MAX_EJECTION_MILLIS = 4_000;
 
     private int consecutiveFailures;
@@ -32,7 +32,7 @@
     private boolean onTrial;
     private long lastDispatchMillis;
 
-    /** Notes a request that the target answered properly, whatever the answer says. */
+    /** Records a request that the target answered properly, whatever the content of the answer. */
     public void recordSuccess() {
         onTrial = false;
         consecutiveFailures = 0;
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Notes a request that the target failed.
+     * Records a request that the target failed.
      *
-     * @param nowMillis steady time in milliseconds
-     * @param unreachable true when no connection could be made, which ejects at once
+     * @param nowMillis monotonic time in milliseconds
+     * @param unreachable true when no connection could be made, which ejects the target immediately
      * @return true when this ejected the target
      */
     public boolean recordFailure(long nowMillis, boolean unreachable) {
@@ -56,10 +56,10 @@
     }
 
     /**
-     * Notes a request that the target answered with an error of its own. Some requests always end so, hence only their
-     * share counts, never two in a row.
+     * Records a request that the target answered with an error. Some requests always end with an error, so only the
+     * share of such answers counts, not consecutive ones.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      * @return true when this ejected the target
      */
     public boolean recordErrorAnswer(long nowMillis) {
@@ -67,32 +67,32 @@
         return eject(nowMillis, false);
     }
 
-    /** Notes that a request begins to be answered with success. */
+    /** Records that a successful answer to a request starts. */
     public void recordAnswerStart() {
         onTrial = false;
     }
 
     /**
-     * Tells whether the target may get another request.
+     * Returns whether the target may get another request.
      *
-     * @param nowMillis steady time in milliseconds
-     * @return false while it is ejected, or on trial with a request just sent
+     * @param nowMillis monotonic time in milliseconds
+     * @return false while it is ejected, or on trial with a recent request
      */
     public boolean admits(long nowMillis) {
         return !ejected && (!onTrial || nowMillis >= lastDispatchMillis + TRIAL_INTERVAL_MILLIS);
     }
 
     /**
-     * Notes a request that is sent.
+     * Records a request that is dispatched to the target.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void recordDispatch(long nowMillis) {
         lastDispatchMillis = nowMillis;
     }
 
-    private boolean eject(long nowMillis, boolean certain) {
-        if (ejected || !certain && failureShare < FAILURE_SHARE_THRESHOLD) {
+    private boolean eject(long nowMillis, boolean immediate) {
+        if (ejected || !immediate && failureShare < FAILURE_SHARE_THRESHOLD) {
             return false;
         }
         ejected = true;
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Tells whether the target is out of use.
+     * Returns whether the target is ejected.
      *
      * @return true while it is ejected
      */
@@ -111,9 +111,9 @@
     }
 
     /**
-     * Tells whether a probe is due, and if so counts it as begun.
+     * Starts a probe if one is due.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      * @return true when the caller must probe the target now
      */
     public boolean beginProbe(long nowMillis) {
@@ -125,10 +125,10 @@
     }
 
     /**
-     * Notes the end of a probe.
+     * Records the result of a probe.
      *
-     * @param nowMillis steady time in milliseconds
-     * @param healthy true when the target said that it is healthy
+     * @param nowMillis monotonic time in milliseconds
+     * @param healthy true when the target reported that it is healthy
      */
     public void recordProbeResult(long nowMillis, boolean healthy) {
         probing = false;
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetSpeed.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetSpeed.java
@@ -1,34 +1,38 @@
 package org.whinwharf.traffic.target;
 
 /**
- * Learned speed of one engine, as seen from this process.
+ * Speed of one engine, learned from its answers to this process.
  *
- * <p>Engines of one service differ by a factor of five and slow down at any moment. A request that is sent by counts
- * alone waits at the slow ones; first events that come later than predicted show it.
+ * <p>Engines of one service differ in speed by a factor of five and may slow down at any time. If requests were placed
+ * by their number alone, they would wait at slow engines. A first event that arrives later than predicted reveals a
+ * slow engine.
  */
 public final class TargetSpeed {
-    /** Prompt tokens read in a millisecond before any reading: a current engine's published figure. */
+    /** Prompt tokens prefilled per millisecond, assumed before any measurement: a current engine's published figure. */
     public static final double ASSUMED_PREFILL_TOKENS_PER_MILLI = 60;
-    /** Time to a first event beside the prompt, before any reading. */
+    /** Time to the first event apart from the prefill, assumed before any measurement. */
     private static final double ASSUMED_OVERHEAD_MILLIS = 20;
-    /** Weight of the newest reading: a change of speed shows after about five requests. */
+    /** Weight of the newest measurement: a change of speed is detected after about five requests. */
     private static final double SMOOTHING_FACTOR = 0.2;
-    /** Bounds of the factor, so that one odd reading neither bans a target nor floods it. */
+    /** Upper limit of the slowdown factor, so that one outlier does not exclude a target. */
     private static final double MAX_SLOWDOWN_FACTOR = 12;
 
+    /** Lower limit of the slowdown factor, so that one outlier does not flood a target. */
     private static final double MIN_SLOWDOWN_FACTOR = 0.3;
 
-    /** Time for a token of an answer's bound before any reading: a current engine's published step. */
+    /**
+     * Time per token of an answer's maximum length, assumed before any measurement: a current engine's published step.
+     */
     private static final double ASSUMED_MILLIS_PER_ANSWER_TOKEN = 3.3;
 
     private double slowdownFactor = 1;
     private double millisPerAnswerToken = ASSUMED_MILLIS_PER_ANSWER_TOKEN;
 
     /**
-     * Predicts the time to the first event of a request that need not wait for a slot.
+     * Estimates the time to the first event of a request that need not wait for a slot.
      *
-     * @param uncachedTokens prompt tokens that the target has to read, those of requests ahead included
-     * @param occupancy requests at the target over its slots
+     * @param uncachedTokens prompt tokens that the target has to prefill, including those of requests ahead
+     * @param occupancy requests at the target divided by its slots
      * @return time in milliseconds
      */
     public double estimatedFirstEventMillis(long uncachedTokens, double occupancy) {
@@ -36,22 +40,22 @@
     }
 
     /**
-     * Notes a first event.
+     * Records a first event.
      *
-     * @param uncachedTokens tokens that the prediction was made with
-     * @param occupancy occupancy that the prediction was made with
-     * @param tookMillis time from sending to the first event
+     * @param uncachedTokens tokens on which the estimate was based
+     * @param occupancy occupancy on which the estimate was based
+     * @param tookMillis time in milliseconds from the dispatch to the first event
      */
     public void recordFirstEvent(long uncachedTokens, double occupancy, long tookMillis) {
-        double seen = (tookMillis + 1) / baselineMillis(uncachedTokens, occupancy);
-        double bounded = Math.max(MIN_SLOWDOWN_FACTOR, Math.min(MAX_SLOWDOWN_FACTOR, seen));
-        slowdownFactor += (bounded - slowdownFactor) * SMOOTHING_FACTOR;
+        double measuredFactor = (tookMillis + 1) / baselineMillis(uncachedTokens, occupancy);
+        double clampedFactor = Math.max(MIN_SLOWDOWN_FACTOR, Math.min(MAX_SLOWDOWN_FACTOR, measuredFactor));
+        slowdownFactor += (clampedFactor - slowdownFactor) * SMOOTHING_FACTOR;
     }
 
     /**
-     * Predicts the time from the first event of an answer to its last.
+     * Estimates the time from the first event of an answer to its last.
      *
-     * @param answerTokens bound on the answer's length
+     * @param answerTokens maximum length of the answer in tokens
      * @return time in milliseconds
      */
     public double estimatedAnswerMillis(long answerTokens) {
@@ -59,10 +63,10 @@
     }
 
     /**
-     * Estimates for how long a request holds a slot of a current engine at rest.
+     * Estimates how long a request occupies a slot of an idle engine of the assumed speed.
      *
-     * @param promptTokens length of its prompt
-     * @param answerTokens bound on the answer's length
+     * @param promptTokens length of the prompt in tokens
+     * @param answerTokens maximum length of the answer in tokens
      * @return time in milliseconds
      */
     public static double assumedSlotMillis(long promptTokens, long answerTokens) {
@@ -70,19 +74,19 @@
     }
 
     /**
-     * Notes a whole answer.
+     * Records a complete answer.
      *
-     * @param answerTokens bound on its length, above 0
-     * @param tookMillis time from its first event to its last
+     * @param answerTokens maximum length of the answer in tokens, above 0
+     * @param tookMillis time in milliseconds from its first event to its last
      */
     public void recordAnswer(long answerTokens, long tookMillis) {
-        double seen =
+        double measuredMillis =
                 Math.min(tookMillis / (double) answerTokens, ASSUMED_MILLIS_PER_ANSWER_TOKEN * MAX_SLOWDOWN_FACTOR);
-        millisPerAnswerToken += (seen - millisPerAnswerToken) * SMOOTHING_FACTOR;
+        millisPerAnswerToken += (measuredMillis - millisPerAnswerToken) * SMOOTHING_FACTOR;
     }
 
     /**
-     * Returns how slow the target is.
+     * Returns the slowdown factor of the target.
      *
      * @return 1 for an engine of the assumed speed, more for a slower one
      */
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetState.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/TargetState.java
@@ -1,8 +1,10 @@
 package org.whinwharf.traffic.target;
 
-/** What this process knows of one target; used by one thread only. */
+/** This process's state of one target. Not thread-safe; used by one thread only. */
 public final class TargetState {
-    /** Time a full target gets nothing after it refused a request: about one in ten of its slots frees meanwhile. */
+    /**
+     * Time without dispatches after a target rejected a request as full: about one in ten of its slots frees meanwhile.
+     */
     private static final long FULL_BACKOFF_MILLIS = 60;
 
     private Target target;
@@ -20,7 +22,7 @@
     private long fullUntilMillis;
 
     /**
-     * Creates the state of a target that was just published.
+     * Creates the state of a newly published target.
      *
      * @param target the target
      */
@@ -38,9 +40,9 @@
     }
 
     /**
-     * Takes a new publication of the same target.
+     * Applies a new publication of the same target, which cancels its removal.
      *
-     * @param published the target
+     * @param published the target as published now
      */
     public void update(Target published) {
         target = published;
@@ -66,27 +68,27 @@
     }
 
     /**
-     * Returns the bound on requests while the target is cold.
+     * Returns the limiter of requests while the target is cold.
      *
-     * @return gate
+     * @return limiter
      */
     public ColdStartLimiter coldStartLimiter() {
         return coldStartLimiter;
     }
 
     /**
-     * Notes that the target is cold.
+     * Records that the target is cold.
      *
-     * @param untilMillis steady time in milliseconds at which it is warm again
+     * @param untilMillis monotonic time in milliseconds at which it is warm
      */
     public void markColdUntil(long untilMillis) {
         coldUntilMillis = Math.max(coldUntilMillis, untilMillis);
     }
 
     /**
-     * Tells whether the target is cold.
+     * Returns whether the target is cold.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      * @return true while it is cold
      */
     public boolean cold(long nowMillis) {
@@ -94,47 +96,47 @@
     }
 
     /**
-     * Notes that the target's entry was removed.
+     * Records that the target's published entry was removed.
      *
-     * @param atMillis steady time from which it counts as gone
+     * @param atMillis monotonic time in milliseconds from which it counts as removed
      */
     public void markRemovedAt(long atMillis) {
         removedAtMillis = Math.min(removedAtMillis, atMillis);
     }
 
     /**
-     * Tells whether the target's entry was removed.
+     * Returns whether the target's published entry was removed.
      *
-     * @param nowMillis steady time in milliseconds
-     * @return true when it counts as gone
+     * @param nowMillis monotonic time in milliseconds
+     * @return true when it counts as removed
      */
     public boolean removed(long nowMillis) {
         return nowMillis >= removedAtMillis;
     }
 
     /**
-     * Notes that the target refused a request as full; it gets nothing for a moment.
+     * Records that the target rejected a request as full. It gets no requests for a short backoff.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
     public void recordFullRejection(long nowMillis) {
         fullUntilMillis = nowMillis + FULL_BACKOFF_MILLIS;
     }
 
     /**
-     * Tells whether the target may get requests at all, cold or warm.
+     * Returns whether the target, cold or warm, may get requests.
      *
-     * @param nowMillis steady time in milliseconds
-     * @return true when nothing speaks against it
+     * @param nowMillis monotonic time in milliseconds
+     * @return true when it is not draining, removed, ejected or backing off
      */
     public boolean usable(long nowMillis) {
         return !target.draining() && !removed(nowMillis) && !health.ejected() && nowMillis >= fullUntilMillis;
     }
 
     /**
-     * Notes a request that this process sends.
+     * Records a request that this process dispatches to the target.
      *
-     * @param uncachedTokens prompt tokens that the target has to read
+     * @param uncachedTokens prompt tokens that the target has to prefill
      */
     public void recordDispatch(long uncachedTokens) {
         localInFlight++;
@@ -142,32 +144,32 @@
     }
 
     /**
-     * Notes that a prompt was read: the first event came, or the request ended before.
+     * Records the end of a prefill: the first event arrived, or the request ended before it.
      *
-     * @param uncachedTokens tokens given to {@link #recordDispatch}
+     * @param uncachedTokens tokens passed to {@link #recordDispatch}
      */
     public void recordPrefillEnd(long uncachedTokens) {
         localPrefillTokens -= uncachedTokens;
     }
 
-    /** Notes the end of a request. */
+    /** Records the end of a request of this process. */
     public void recordEnd() {
         localInFlight--;
     }
 
     /**
-     * Takes what other processes last said of their requests at the target.
+     * Replaces the load that other processes reported for the target.
      *
-     * @param running requests
-     * @param prefillTokens prompt tokens not yet read
+     * @param inFlight requests in flight
+     * @param prefillTokens prompt tokens not yet prefilled
      */
-    public void updateRemoteLoad(int running, long prefillTokens) {
-        remoteInFlight = running;
+    public void updateRemoteLoad(int inFlight, long prefillTokens) {
+        remoteInFlight = inFlight;
         remotePrefillTokens = prefillTokens;
     }
 
     /**
-     * Returns this process's requests at the target.
+     * Returns the number of this process's requests in flight at the target.
      *
      * @return requests
      */
@@ -176,7 +178,7 @@
     }
 
     /**
-     * Returns this process's prompt tokens that the target has not read yet.
+     * Returns the prompt tokens of this process's requests that the target has not prefilled yet.
      *
      * @return tokens
      */
@@ -185,39 +187,39 @@
     }
 
     /**
-     * Takes what all processes have under way at the target, as the coordinator of its service counts it.
+     * Replaces the load of all processes at the target, as counted by the coordinator of its service.
      *
-     * @param running requests
-     * @param prefillTokens prompt tokens not yet read
+     * @param inFlight requests in flight
+     * @param prefillTokens prompt tokens not yet prefilled
      */
-    public void updateCoordinatedLoad(int running, long prefillTokens) {
-        coordinatedInFlight = running;
+    public void updateCoordinatedLoad(int inFlight, long prefillTokens) {
+        coordinatedInFlight = inFlight;
         coordinatedPrefillTokens = prefillTokens;
     }
 
     /**
-     * Returns all known requests at the target: the coordinator's count, or where it is new and knows less, what the
-     * processes say themselves.
+     * Returns all known requests in flight at the target: the larger of the coordinator's count and the sum that the
+     * processes report, because a new coordinator knows only some of the requests.
      *
-     * @return requests of this and of other processes
+     * @return requests of this and other processes
      */
     public int inFlight() {
         return Math.max(coordinatedInFlight, localInFlight + remoteInFlight);
     }
 
     /**
-     * Returns all known prompt tokens that the target has not read yet.
+     * Returns all known prompt tokens that the target has not prefilled yet.
      *
-     * @return tokens of this and of other processes
+     * @return tokens of this and other processes
      */
     public long pendingPrefillTokens() {
         return Math.max(coordinatedPrefillTokens, localPrefillTokens + remotePrefillTokens);
     }
 
     /**
-     * Returns the requests at the target over its slots.
+     * Returns the number of requests at the target divided by its slots.
      *
-     * @return occupancy; above 1 when some wait there
+     * @return occupancy; above 1 when requests queue at the target
      */
     public double occupancy() {
         return inFlight() / (double) Math.max(1, target.slots());
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/package-info.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/target/package-info.java
@@ -1,2 +1,2 @@
-/** What one process knows of each target: load, speed, health, cold start. */
+/** The state that one process keeps of each target: load, speed, health and cold start. */
 package org.whinwharf.traffic.target;
