--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
@@ -80,7 +80,7 @@
         this.request = request;
         this.body = body;
         arrivedAtMillis = front.nowMillis();
-        catalogFreshness = front.knowledge();
+        catalogFreshness = front.catalogFreshness();
     }
 
     HttpMethod method() {
@@ -93,7 +93,7 @@
 
     /** Parses the request, applies admission control, and dispatches or queues the request if admitted. */
     void start() {
-        front.exchangeBegan(this);
+        front.exchangeStarted(this);
         try {
             head = front.dialect().readRequest(request);
         } catch (BadRequestException e) {
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
@@ -89,7 +89,7 @@
     private final Set<CallerExchange> exchanges = new LinkedHashSet<>();
     private final FrontMetrics metrics = new FrontMetrics();
     private final CallerAcceptor callers;
-    private final FleetStateExchange news;
+    private final FleetStateExchange fleetState;
     private final PeerDatagrams datagrams;
     private final Gossip gossip;
     private final Coordination coordination;
@@ -130,12 +130,12 @@
         ItemMirror mirror = new ItemMirror();
         peerItems = new PeerItems(loop, mirror, metrics);
         feed = new ItemFeed(settings, members, mirror, peerItems, ticker, random);
-        news = new FleetStateExchange(settings, members, targets, quotas, feed, ticker);
+        fleetState = new FleetStateExchange(settings, members, targets, quotas, feed, ticker);
         datagrams = new PeerDatagrams(settings);
         coordination = new Coordination(
                 settings, members, targets, datagrams, ticker, this::createCoordinator, this::isCoordinated);
         gossip = new Gossip(
-                settings, members, ticker, random, datagrams, news::applyReport, coordination::coordinatorIps);
+                settings, members, ticker, random, datagrams, fleetState::applyReport, coordination::coordinatorIps);
         callers = new CallerAcceptor(this, loop, callerPort);
     }
 
@@ -369,18 +369,18 @@
     }
 
     private void gossipRound() {
-        news.updateLocalReport(phase);
+        fleetState.updateLocalReport(phase);
         gossip.runRound();
     }
 
     private void phaseChanged() {
-        news.updateLocalReport(phase);
+        fleetState.updateLocalReport(phase);
         gossip.runRoundNow();
     }
 
     private void tick() {
         long nowMillis = ticker.nowMillis();
-        news.updateRemoteLoads(nowMillis);
+        fleetState.updateRemoteLoads(nowMillis);
         coordination.tick();
         List.copyOf(exchanges).forEach(exchange -> exchange.checkTimeouts(nowMillis));
         localQueues.advance(nowMillis);
@@ -478,7 +478,7 @@
         return catalog;
     }
 
-    CatalogFreshness knowledge() {
+    CatalogFreshness catalogFreshness() {
         return new CatalogFreshness(catalog.map(Catalog::version).orElse(0L), feed.ageMillis());
     }
 
@@ -561,7 +561,7 @@
         entry.state().health().recordSuccess();
     }
 
-    void exchangeBegan(CallerExchange exchange) {
+    void exchangeStarted(CallerExchange exchange) {
         exchanges.add(exchange);
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRegistry.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/TargetRegistry.java
@@ -57,38 +57,38 @@
     /** Adds or updates a published target; a target that starts or restarts after the initial copy counts as cold. */
     void publish(Target target, boolean afterInitialCopy) {
         long nowMillis = ticker.nowMillis();
-        TargetEntry known = entries.get(target.id());
+        TargetEntry entry = entries.get(target.id());
         boolean addressChanged =
-                known != null && !known.state().target().address().equals(target.address());
+                entry != null && !entry.state().target().address().equals(target.address());
         boolean serviceChanged =
-                known != null && !known.state().target().service().equals(target.service());
+                entry != null && !entry.state().target().service().equals(target.service());
         if (addressChanged || serviceChanged) {
             evict(target.id());
-            known = null;
+            entry = null;
         }
-        boolean restarted = known != null
-                && (known.state().target().startedUnixMillis() != target.startedUnixMillis()
-                        || known.state().removed(nowMillis));
-        if (known == null) {
+        boolean restarted = entry != null
+                && (entry.state().target().startedUnixMillis() != target.startedUnixMillis()
+                        || entry.state().removed(nowMillis));
+        if (entry == null) {
             TargetConnectionPool pool = new TargetConnectionPool(loop, dialect, ticker, target.ip(), target.port());
-            known = new TargetEntry(new TargetState(target), pool);
-            entries.put(target.id(), known);
-            byService.computeIfAbsent(target.service(), name -> new HashMap<>()).put(target.id(), known.state());
+            entry = new TargetEntry(new TargetState(target), pool);
+            entries.put(target.id(), entry);
+            byService.computeIfAbsent(target.service(), name -> new HashMap<>()).put(target.id(), entry.state());
             restarted = afterInitialCopy;
             FrontLog.published(target, target.draining() ? "leaving" : "new");
-        } else if (known.state().target().draining() != target.draining() || restarted) {
+        } else if (entry.state().target().draining() != target.draining() || restarted) {
             FrontLog.published(target, target.draining() ? "leaving" : "reborn");
         }
-        known.state().update(target);
+        entry.state().update(target);
         long coldMillis = target.coldRemainingMillis();
         if (restarted) {
             coldMillis = Math.max(coldMillis, coldStartMillis(target.service()));
         }
         if (coldMillis > 0) {
-            known.state().markColdUntil(nowMillis + coldMillis + COLD_MARGIN_MILLIS);
+            entry.state().markColdUntil(nowMillis + coldMillis + COLD_MARGIN_MILLIS);
         }
         if (target.draining()) {
-            known.pool().closeIdle();
+            entry.pool().closeIdle();
         }
     }
 
