--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/AnswerTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/AnswerTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.Test;
 
-/** What callers get when targets fail in every way they can. */
+/** Verifies the responses to callers when targets respond, fail or misbehave. */
 class AnswerTest {
     private static final long LONG_TIMEOUT_MILLIS = 8_000;
 
@@ -27,15 +27,15 @@
             fixture.target(
                     "t", (request, socket) -> FakeTarget.write(socket, FakeTarget.answer(request, 200, "hello")));
             fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
-            String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
-            assertThat(answer, startsWith("HTTP/1.1 200"));
-            assertThat(answer, endsWith("\r\n\r\nhello"));
+            String response = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
+            assertThat(response, startsWith("HTTP/1.1 200"));
+            assertThat(response, endsWith("\r\n\r\nhello"));
         }
     }
 
     /**
-     * The target runs a booking and its connection is reset before the answer. A refusal that says "not run" would make
-     * the caller book again, and the pickup would be booked twice.
+     * The target executes a non-idempotent request, a booking, and resets the connection before it responds. A
+     * rejection stating that the request was not executed would make the caller book a second time.
      */
     @Test
     void lostResponseOfNonIdempotentRequestIsNotRejection() throws IOException {
@@ -47,22 +47,22 @@
             fixture.target(
                     "u", (request, socket) -> FakeTarget.write(socket, FakeTarget.answer(request, 200, "twice")));
             fixture.publishCatalog(2, LONG_TIMEOUT_MILLIS);
-            int runs = 0;
+            int executions = 0;
             for (int i = 0; i < 4; i++) {
                 int before = target.requests().size();
-                String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a" + i, true));
+                String response = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a" + i, true));
                 if (target.requests().size() > before) {
-                    runs++;
-                    assertThat(answer, startsWith("HTTP/1.1 502"));
+                    executions++;
+                    assertThat(response, startsWith("HTTP/1.1 502"));
                 }
             }
-            assertThat(runs > 0, is(true));
+            assertThat(executions > 0, is(true));
         }
     }
 
     /**
-     * A look-up is answered with half a body. The caller must get the whole body from another target and never the half
-     * one under a success.
+     * The target truncates the body of the response to an idempotent request. The caller must get the complete body
+     * from another target, never the truncated one under a success status.
      */
     @Test
     void truncatedResponseOfIdempotentRequestIsRetried() throws IOException {
@@ -86,8 +86,8 @@
     }
 
     /**
-     * The target sends a second answer to a request after the first. On a kept connection it would be read as the
-     * answer to the next request, of another caller.
+     * The target sends a second response to the same request. On a reused connection it would be read as the response
+     * to the next request, which belongs to another caller.
      */
     @Test
     void surplusResponseNeverReachesNextCaller() throws IOException {
@@ -98,15 +98,15 @@
             });
             fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
             for (int i = 0; i < 20; i++) {
-                String answer = fixture.exchange(FrontFixture.request("GET", "/safe/x", "a" + i, true));
-                assertThat(answer, endsWith("own-a" + i));
+                String response = fixture.exchange(FrontFixture.request("GET", "/safe/x", "a" + i, true));
+                assertThat(response, endsWith("own-a" + i));
             }
         }
     }
 
     /**
-     * The answer to a HEAD request names the length of a body that does not follow. Waiting for it would hold the
-     * caller until its deadline, and read the next answer's head as a body.
+     * The response to a HEAD request carries the content length of a body that does not follow. Waiting for that body
+     * would delay the caller until its deadline and read the head of the next response as a body.
      */
     @Test
     void headResponseHasNoBody() throws IOException {
@@ -117,28 +117,28 @@
                             socket, FakeTarget.answer(request, 200, "12345").replace("12345", "")));
             fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
             for (int i = 0; i < 2; i++) {
-                String answer = fixture.exchange(FrontFixture.request("HEAD", "/safe/x", "a" + i, true));
-                assertThat(answer, startsWith("HTTP/1.1 200"));
-                assertThat(answer, endsWith("\r\n\r\n"));
+                String response = fixture.exchange(FrontFixture.request("HEAD", "/safe/x", "a" + i, true));
+                assertThat(response, startsWith("HTTP/1.1 200"));
+                assertThat(response, endsWith("\r\n\r\n"));
             }
         }
     }
 
-    /** An answer is longer than what is collected here. Cut off at that length it would look whole to the caller. */
+    /** The response exceeds the buffer limit. Truncated at the limit, it would look complete to the caller. */
     @Test
     void oversizedResponseIsNotTruncated() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             String body = "x".repeat(Front.MAX_ANSWER_BYTES + 1);
             fixture.target("t", (request, socket) -> FakeTarget.write(socket, FakeTarget.answer(request, 200, body)));
             fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
-            String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
-            assertThat(answer.substring(0, 12), is("HTTP/1.1 502"));
+            String response = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
+            assertThat(response.substring(0, 12), is("HTTP/1.1 502"));
         }
     }
 
     /**
-     * One of three targets refuses every request at once; the others take 20 ms for an answer. The refusing one is the
-     * fastest by its first bytes, and would draw all requests as long as it fails.
+     * One of three targets rejects every request at once; the others respond after 20 ms. By the time to its first byte
+     * the rejecting target is the fastest, and it would attract all requests as long as it fails.
      */
     @Test
     void targetRejectingEveryRequestIsEjected() throws IOException {
@@ -147,12 +147,12 @@
                     "t",
                     (request, socket) -> FakeTarget.write(
                             socket, FakeTarget.answer(request, 503, "").replace("Signed", "Not-Run: 1\r\nSigned")));
-            FakeTarget.Script sound = (request, socket) -> {
+            FakeTarget.Script healthy = (request, socket) -> {
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(20));
                 FakeTarget.write(socket, FakeTarget.answer(request, 200, "whole"));
             };
-            fixture.target("u", sound);
-            fixture.target("v", sound);
+            fixture.target("u", healthy);
+            fixture.target("v", healthy);
             fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
             for (int i = 0; i < 60; i++) {
                 fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a" + i, true));
@@ -162,8 +162,9 @@
     }
 
     /**
-     * A target hangs on one booking and answers everything else and its health checks. The booking must be waited for
-     * to its end; if its silence counted again and again, the sound target would be out of use until then.
+     * A target hangs on one non-idempotent request, and responds to all others and to health checks. The hung request
+     * has to be waited for until its deadline. If its silence counted repeatedly, the healthy target would stay ejected
+     * until then.
      */
     @Test
     void hungRequestDoesNotKeepTargetEjected() throws IOException {
@@ -185,17 +186,18 @@
                     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(50));
                 }
                 int attempt = 0;
-                int whole = 0;
-                while (whole < 10) {
+                int succeeded = 0;
+                while (succeeded < 10) {
                     assertThat("served in time", System.nanoTime() < endNanos, is(true));
-                    String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a" + attempt++, true));
-                    whole += answer.endsWith("whole") ? 1 : 0;
+                    String response =
+                            fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a" + attempt++, true));
+                    succeeded += response.endsWith("whole") ? 1 : 0;
                 }
             }
         }
     }
 
-    /** An answer without the target's signature did not come from the target's service. */
+    /** A success without the target's signature does not originate from the target's service. */
     @Test
     void unsignedSuccessIsNotForwarded() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
@@ -204,15 +206,15 @@
                     (request, socket) -> FakeTarget.write(
                             socket, FakeTarget.answer(request, 200, "forged").replace("Signed: yes\r\n", "")));
             fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
-            String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
-            assertThat(answer, startsWith("HTTP/1.1 502"));
-            assertThat(answer, not(containsString("forged")));
+            String response = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
+            assertThat(response, startsWith("HTTP/1.1 502"));
+            assertThat(response, not(containsString("forged")));
         }
     }
 
     /**
-     * The target is full and says that it did not run the request; the one attempt allowed is used up. The caller is
-     * told so, and when to come back.
+     * The target has no free slot and reports that it did not execute the request, and the only allowed attempt is used
+     * up. The caller gets a rejection with a Retry-After header.
      */
     @Test
     void targetRejectionCarriesRetryAfter() throws IOException {
@@ -222,15 +224,15 @@
                     (request, socket) -> FakeTarget.write(
                             socket, FakeTarget.answer(request, 503, "").replace("Signed", "Not-Run: 1\r\nSigned")));
             fixture.publishCatalog(1, LONG_TIMEOUT_MILLIS);
-            String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
-            assertThat(answer, startsWith("HTTP/1.1 503"));
-            assertThat(answer.toLowerCase(Locale.ROOT), containsString("retry-after:"));
+            String response = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
+            assertThat(response, startsWith("HTTP/1.1 503"));
+            assertThat(response.toLowerCase(Locale.ROOT), containsString("retry-after:"));
         }
     }
 
     /**
-     * The target dies in the middle of an event. The caller goes on with the next whole event from another target, and
-     * no event is missing, doubled or joined from two runs.
+     * The target fails in the middle of an event. The stream resumes at another target, and no event is missing,
+     * duplicated or merged from two runs.
      */
     @Test
     void resumableStreamResumesAtAnotherTarget() throws IOException {
@@ -252,13 +254,13 @@
             fixture.target("t", script);
             fixture.target("u", script);
             fixture.publishCatalog(2, LONG_TIMEOUT_MILLIS);
-            String answer = fixture.exchange(FrontFixture.request("POST", "/resumable/x", "a", true));
-            String events = answer.replaceAll("(?m)^[0-9a-f]+\r\n|\r\n", "");
+            String response = fixture.exchange(FrontFixture.request("POST", "/resumable/x", "a", true));
+            String events = response.replaceAll("(?m)^[0-9a-f]+\r\n|\r\n", "");
             assertThat(events, endsWith("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"));
         }
     }
 
-    /** A stream that may not run twice breaks. Its answer must not look whole. */
+    /** A stream that must not be executed twice breaks off. The response must not look complete. */
     @Test
     void brokenStreamDoesNotLookComplete() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
@@ -270,13 +272,13 @@
                 socket.close();
             });
             fixture.publishCatalog(2, LONG_TIMEOUT_MILLIS);
-            String answer = fixture.exchange(FrontFixture.request("POST", "/stream/x", "a", true));
-            assertThat(answer, not(containsString("\r\n0\r\n\r\n")));
+            String response = fixture.exchange(FrontFixture.request("POST", "/stream/x", "a", true));
+            assertThat(response, not(containsString("\r\n0\r\n\r\n")));
             assertThat(target.requests(), hasSize(1));
         }
     }
 
-    /** The caller leaves while the target works. The work is in vain, and the slot is needed. */
+    /** The caller disconnects while the target executes the request. The target must be cancelled to free its slot. */
     @Test
     void callerDisconnectCancelsTargetRequest() throws IOException, InterruptedException {
         try (FrontFixture fixture = new FrontFixture()) {
@@ -293,15 +295,16 @@
     }
 
     /**
-     * The target never answers. At the route's timeout the caller gets its final answer, on a connection that stays.
+     * The target never responds. At the route's timeout the caller gets a final response, and its connection stays
+     * open.
      */
     @Test
     void routeTimeoutEndsRequest() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.target("t", (request, socket) -> {});
             fixture.publishCatalog(1, 300);
-            String answer = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
-            assertThat(answer, startsWith("HTTP/1.1 504"));
+            String response = fixture.exchange(FrontFixture.request("POST", "/unsafe/x", "a", true));
+            assertThat(response, startsWith("HTTP/1.1 504"));
         }
     }
 }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/LateCloseTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/LateCloseTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Callers that leave while the front's thread is busy with something else. */
+/** Verifies the handling of callers that disconnect while the front's thread is busy. */
 class LateCloseTest {
     private static final long TIMEOUT_MILLIS = 100_000;
-    /** Long enough that no request is refused while the test looks at it. */
+    /** Long enough that no request is rejected during the test. */
     private static final long OBJECTIVE_MILLIS = 10_000;
 
     private final CountDownLatch slowResponseLatch = new CountDownLatch(1);
@@ -39,7 +39,7 @@
         target.close();
     }
 
-    /** Guards against sending a request on whose caller closed its connection before the request was read. */
+    /** Guards against dispatching a request whose caller closed the connection before the request was read. */
     @Test
     void requestReadTogetherWithCloseReachesNoTarget() throws Exception {
         front.publishCatalog(2, TIMEOUT_MILLIS);
@@ -47,16 +47,19 @@
         try (Socket caller = front.connect()) {
             FakeTarget.write(caller, FrontFixture.request("POST", "/safe/x", "first", false));
             FrontFixture.readUntil(caller, "whole");
-            CountDownLatch goOn = blockFrontThread();
+            CountDownLatch unblock = blockFrontThread();
             FakeTarget.write(caller, FrontFixture.request("POST", "/safe/x", "left", false));
             caller.close();
-            goOn.countDown();
+            unblock.countDown();
         }
         front.exchange(FrontFixture.request("POST", "/safe/x", "last", true));
         assertThat(attempts(), contains("first", "last"));
     }
 
-    /** Guards against giving a freed slot to a request whose caller's close waits to be read behind it. */
+    /**
+     * Guards against giving a freed slot to a queued request whose caller has disconnected, when the close is read only
+     * after the response that frees the slot.
+     */
     @Test
     void slotFreedBeforePendingCloseGoesToNextRequest() throws Exception {
         front.publishCatalog(2, TIMEOUT_MILLIS, true, OBJECTIVE_MILLIS);
@@ -67,32 +70,32 @@
             FrontFixture.await(() -> target.requests().size() == 1);
             FakeTarget.write(caller, FrontFixture.request("POST", "/safe/x", "left", false));
             FrontFixture.await(() -> queuedRequests() == 1);
-            CountDownLatch goOn = blockFrontThread();
+            CountDownLatch unblock = blockFrontThread();
             slowResponseLatch.countDown();
-            // The answer must be there before the close, so that it is read first.
+            // The response must arrive before the close, so that it is read first.
             Thread.sleep(100);
             caller.close();
-            goOn.countDown();
+            unblock.countDown();
             assertThat(FrontFixture.readAll(first), endsWith("whole"));
         }
         front.exchange(FrontFixture.request("POST", "/safe/x", "last", true));
         assertThat(attempts(), contains("slow", "last"));
     }
 
-    /** Holds the front's only thread until the returned latch is opened. */
+    /** Blocks the front's only thread until the returned latch is counted down. */
     private CountDownLatch blockFrontThread() throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         front.front().loop().execute(() -> {
-            held.countDown();
+            blocked.countDown();
             try {
-                FrontFixture.awaitLatch(goOn);
+                FrontFixture.awaitLatch(unblock);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         });
-        held.await();
-        return goOn;
+        blocked.await();
+        return unblock;
     }
 
     private int queuedRequests() {
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/MalformedRequestTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/MalformedRequestTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Requests in which a second one could hide, or that cost too much, never reach a target. */
+/** Verifies that requests that could smuggle a second one, or that are too large, never reach a target. */
 class MalformedRequestTest {
     private static final long TIMEOUT_MILLIS = 5_000;
 
     /**
-     * A proxy and a target that disagree on where a request ends let a caller hide a second request in the first one's
-     * body, past keys and quotas.
+     * If the front and a target disagree on where a request ends, a caller can smuggle a second request in the body of
+     * the first one, past API keys and quotas.
      */
     @ParameterizedTest
     @CsvSource(
@@ -37,8 +37,8 @@
             FakeTarget target =
                     fixture.target("t", (head, socket) -> FakeTarget.write(socket, FakeTarget.answer(head, 200, "")));
             fixture.publishCatalog(1, TIMEOUT_MILLIS);
-            String answer = fixture.exchange(request.replace("~", "\r\n"));
-            assertThat(answer, startsWith("HTTP/1.1 " + status));
+            String response = fixture.exchange(request.replace("~", "\r\n"));
+            assertThat(response, startsWith("HTTP/1.1 " + status));
             assertThat(target.requests(), empty());
         }
     }
@@ -47,27 +47,28 @@
     void oversizedHeadIsRejected() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             fixture.publishCatalog(1, TIMEOUT_MILLIS);
-            String answer =
+            String response =
                     fixture.exchange("GET /safe/x HTTP/1.1\r\nHost: h\r\nAttempt: " + "a".repeat(40_000) + "\r\n\r\n");
-            assertThat(answer, startsWith("HTTP/1.1 431"));
+            assertThat(response, startsWith("HTTP/1.1 431"));
         }
     }
 
     /**
-     * A caller sends its second request before the first is answered; both are answered in order, each with its own.
+     * A caller pipelines a second request before the response to the first. Both responses must arrive in order, each
+     * with the body of its own request.
      */
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
             FakeTarget target = fixture.target(
                     "t",
-                    (head, answering) -> FakeTarget.write(
-                            answering, FakeTarget.answer(head, 200, "own-" + FakeTarget.attemptId(head))));
+                    (head, socket) -> FakeTarget.write(
+                            socket, FakeTarget.answer(head, 200, "own-" + FakeTarget.attemptId(head))));
             fixture.publishCatalog(1, TIMEOUT_MILLIS);
             String both = FrontFixture.request("GET", "/safe/x", "a", false)
                     + FrontFixture.request("GET", "/safe/x", "b", true);
-            String answers = fixture.exchange(both);
-            assertThat(answers.replaceAll("(?s)^.*?own-a.*own-b$", "in order"), startsWith("in order"));
+            String responses = fixture.exchange(both);
+            assertThat(responses.replaceAll("(?s)^.*?own-a.*own-b$", "in order"), startsWith("in order"));
             assertThat(target.requests(), hasSize(2));
         }
     }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/StreamEndTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/StreamEndTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Guards against streams that end without their last event and without a trace. */
+/** Guards against streams that end without their last event and without being counted. */
 class StreamEndTest {
     private static final long DEADLINE_MILLIS = 5_000;
     private static final int TARGETS = 4;
@@ -25,7 +25,8 @@
     private static final int STREAMS_PER_CALLER = 250;
     private static final int EVENTS = 20;
 
-    // Guards against a target's half event that passes for the end of a whole answer, in the answer and in the metrics.
+    // Guards against a partial last event that makes a truncated response look complete, to the caller and in the
+    // metrics.
     @Test
     void responseEndingInsideEventIsAbortedAndCounted() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
@@ -37,16 +38,16 @@
                                     + "\r\nSigned: yes\r\nTransfer-Encoding: chunked\r\n\r\n"
                                     + FakeTarget.chunk("id: 1\ndata: a\n\nid: 2\nda") + "0\r\n\r\n"));
             fixture.publishCatalog(1, DEADLINE_MILLIS);
-            String answer = fixture.exchange(FrontFixture.request("POST", "/resumable/x", "a", true));
-            assertThat(answer, containsString("data: a"));
-            assertThat(answer, not(containsString("\r\n0\r\n\r\n")));
+            String response = fixture.exchange(FrontFixture.request("POST", "/resumable/x", "a", true));
+            assertThat(response, containsString("data: a"));
+            assertThat(response, not(containsString("\r\n0\r\n\r\n")));
             assertThat(
                     fixture.front().metrics().scrape(),
                     containsString("whinwharf_answers_cut_total{cause=\"part-of-event\"} 1"));
         }
     }
 
-    // Guards against answers that lose a part, or get one of another answer, when many are under way.
+    // Guards against concurrent responses that lose events or receive those of another response.
     @Test
     void concurrentStreamsArriveCompleteAndSeparate() throws Exception {
         try (FrontFixture fixture = new FrontFixture()) {
@@ -67,7 +68,7 @@
         }
     }
 
-    // Guards against buffers that are given out twice: the allocator in use is safe only where one thread has them all.
+    // Guards against buffers handed out twice: the allocator in use is safe only when a single thread uses all buffers.
     @Test
     void oneThreadAllocatesAndReleasesAllBuffers() throws IOException {
         try (FrontFixture fixture = new FrontFixture()) {
@@ -82,8 +83,8 @@
             for (int stream = 0; stream < STREAMS_PER_CALLER; stream++) {
                 String attempt = name + stream;
                 FakeTarget.write(socket, FrontFixture.request("POST", "/stream/x", attempt, false));
-                String answer = FrontFixture.readUntil(socket, "\r\n0\r\n\r\n");
-                String body = answer.substring(answer.indexOf("\r\n\r\n") + 2);
+                String response = FrontFixture.readUntil(socket, "\r\n0\r\n\r\n");
+                String body = response.substring(response.indexOf("\r\n\r\n") + 2);
                 assertThat(
                         body.replaceAll("\r\n[0-9a-f]+\r\n", "").strip(),
                         is(events(attempt).strip()));
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/TestDialect.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/TestDialect.java
@@ -12,13 +12,13 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** A small dialect of the tests' own. */
+/** Minimal dialect for the tests of this module, with its own header names. */
 final class TestDialect implements HttpDialect {
     @Override
     public RequestHead readRequest(HttpRequest request) throws BadRequestException {
         String attempt = request.headers().get("Attempt");
         if (attempt == null) {
-            throw new BadRequestException("no attempt");
+            throw new BadRequestException("missing Attempt header");
         }
         return ImmutableRequestHead.builder()
                 .attemptId(attempt)
