--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CatalogTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CatalogTest.java
@@ -27,21 +27,21 @@
         assertThat(catalog.route("API.example", "/a/c").map(Route::pathPrefix), is(Optional.of("/a/")));
     }
 
-    /** Guards against requests that take longer the more routes there are. */
+    /** Guards against a lookup whose cost grows with the number of routes. */
     @Test
     void lookUpDoesNotTryEveryRoute() {
-        AtomicInteger tried = new AtomicInteger();
+        AtomicInteger prefixReads = new AtomicInteger();
         List<Route> routes = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
-            routes.add(countingPrefixReads(Fixtures.route("api.example", "/route-" + i + "/"), tried));
+            routes.add(countingPrefixReads(Fixtures.route("api.example", "/route-" + i + "/"), prefixReads));
         }
         Catalog large = new Catalog(1, CallerLimits.DEFAULT, routes, List.of(), List.of());
-        tried.set(0);
+        prefixReads.set(0);
         assertThat(large.route("api.example", "/route-1999/x").isPresent(), is(true));
-        assertThat(tried.get(), lessThan(10));
+        assertThat(prefixReads.get(), lessThan(10));
     }
 
-    /** Guards against another route than the one that trying all of them, the longest first, would find. */
+    /** Compares the lookup with a search of all routes for the longest matching prefix. */
     @Test
     void routeIsTheLongestThatBeginsThePath() {
         Random random = new Random(5);
@@ -50,34 +50,34 @@
             for (int i = 0; i < 8; i++) {
                 routes.add(Fixtures.route("api.example", path(random, 3)));
             }
-            Catalog some = new Catalog(1, CallerLimits.DEFAULT, routes, List.of(), List.of());
+            Catalog searched = new Catalog(1, CallerLimits.DEFAULT, routes, List.of(), List.of());
             String path = path(random, 5) + "x";
             Optional<Integer> longest = routes.stream()
                     .map(Route::pathPrefix)
                     .filter(path::startsWith)
                     .map(String::length)
                     .max(Integer::compare);
-            Optional<Integer> found = some.route("api.example", path)
+            Optional<Integer> found = searched.route("api.example", path)
                     .map(route -> route.pathPrefix().length());
             assertThat(path, found, is(longest));
         }
     }
 
-    private static String path(Random random, int mostParts) {
+    private static String path(Random random, int maxParts) {
         StringBuilder path = new StringBuilder("/");
-        int parts = random.nextInt(mostParts + 1);
+        int parts = random.nextInt(maxParts + 1);
         for (int i = 0; i < parts; i++) {
             path.append((char) ('a' + random.nextInt(3))).append('/');
         }
         return path.toString();
     }
 
-    /** Returns the same route, whose prefix is counted each time that it is looked at. */
-    private static Route countingPrefixReads(Route route, AtomicInteger looks) {
+    /** Wraps a route and counts the reads of its path prefix. */
+    private static Route countingPrefixReads(Route route, AtomicInteger reads) {
         return (Route) Proxy.newProxyInstance(
                 Route.class.getClassLoader(), new Class<?>[] {Route.class}, (proxy, method, arguments) -> {
                     if (method.getName().equals("pathPrefix")) {
-                        looks.incrementAndGet();
+                        reads.incrementAndGet();
                     }
                     return method.invoke(route, arguments);
                 });
@@ -90,20 +90,20 @@
     }
 
     /**
-     * A route is split between two services. A request that is sent once more must go to the same one, or what runs
-     * once at each would have run twice.
+     * A route is split between two services. A retry must go to the same service as the first attempt; otherwise each
+     * service would execute the request once, and it would have been executed twice.
      */
     @Test
     void splitRouteSendsEachRequestToOneServiceByWeight() {
         Route split = ImmutableRoute.copyOf(Fixtures.route("api.example", "/a/"))
                 .withServices(new ServiceWeight("old", 3), new ServiceWeight("new", 1));
-        int fresh = 0;
+        int selectedNew = 0;
         for (int i = 0; i < 4_000; i++) {
             String service = split.selectService("attempt-" + i);
             assertThat(split.selectService("attempt-" + i), is(service));
-            fresh += service.equals("new") ? 1 : 0;
+            selectedNew += service.equals("new") ? 1 : 0;
         }
-        assertThat(fresh / 4_000.0, closeTo(0.25, 0.03));
+        assertThat(selectedNew / 4_000.0, closeTo(0.25, 0.03));
     }
 
     @Test
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/HeartbeatPropagationTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/HeartbeatPropagationTest.java
@@ -17,14 +17,14 @@
 import org.whinwharf.wire.fleet.MemberReport;
 
 /**
- * Signs of life that go from hand to hand through a fleet of ninety, each process telling two others four times a
- * second.
+ * Gossip of heartbeats through a fleet of ninety processes. Each process sends the newest heartbeats to two random
+ * peers about four times a second.
  */
 class HeartbeatPropagationTest {
     private static final int PROCESSES = 90;
     private static final int FAN_OUT = 2;
     private static final long GOSSIP_INTERVAL_MILLIS = 300;
-    /** Loss on a bad link, as measured where links are disturbed. */
+    /** Datagram loss, as measured on disturbed links. */
     private static final double DATAGRAM_LOSS_RATIO = 0.025;
 
     private final Random random = new Random(11);
@@ -42,8 +42,8 @@
     }
 
     /**
-     * A sound process is taken for dead where its signs of life are too old. Callers are then kept away from it, and
-     * its part of quotas is given to others.
+     * Guards against a healthy process being suspected because its heartbeats arrive too late. Callers would no longer
+     * be sent to it, and its share of quotas would go to other processes.
      */
     @Test
     void noHealthyProcessIsSuspected() {
@@ -55,16 +55,16 @@
         }
     }
 
-    /** A process is killed. Others go on telling each other of it and must not keep it alive among themselves. */
+    /** After a process is killed, its peers still forward its heartbeats and must not keep it alive by that. */
     @Test
     void killedProcessIsSuspectedByEveryPeer() {
         for (int round = 0; round < 20; round++) {
             gossipRound(PROCESSES);
         }
         long killedAtMillis = nowMillis;
-        int living = PROCESSES - 1;
-        while (aliveInAnyTable(living)) {
-            gossipRound(living);
+        int liveCount = PROCESSES - 1;
+        while (aliveInAnyTable(liveCount)) {
+            gossipRound(liveCount);
         }
         assertThat(nowMillis - killedAtMillis, greaterThan(MemberTable.LARGE_FLEET_SUSPECT_TIMEOUT_MILLIS - 1));
         assertThat(nowMillis - killedAtMillis, lessThan(MemberTable.LARGE_FLEET_SUSPECT_TIMEOUT_MILLIS + 3_000));
@@ -72,12 +72,16 @@
 
     @Test
     void heartbeatCarriesThePhase() {
-        MemberTable one = tables.get(0);
-        one.receive(new MemberHeartbeat("front-7".hashCode(), 1, 50, MemberPhase.MEMBER_LEAVING), 10);
-        assertThat(one.serving(10).stream().anyMatch(report -> report.getName().equals("front-7")), is(false));
+        MemberTable table = tables.get(0);
+        table.receive(new MemberHeartbeat("front-7".hashCode(), 1, 50, MemberPhase.MEMBER_LEAVING), 10);
+        assertThat(
+                table.serving(10).stream().anyMatch(report -> report.getName().equals("front-7")), is(false));
     }
 
-    /** A process was restarted between two rounds. Its new lifetime has to be asked for, not taken for the old one. */
+    /**
+     * A process was restarted between two rounds. Its new incarnation has to be requested and must not be mistaken for
+     * the old one.
+     */
     @Test
     void heartbeatOfAnUnknownIncarnationIsRejected() {
         assertThat(
@@ -86,14 +90,19 @@
         assertThat(tables.get(0).receive(new MemberHeartbeat(12_345, 1, 1, MemberPhase.MEMBER_SERVING), 10), is(false));
     }
 
-    /** A report that was passed on slowly comes after younger signs of life. It is news, but not of life. */
+    /**
+     * A report that was forwarded slowly arrives after newer heartbeats. It updates the report but neither the phase
+     * nor the heartbeat.
+     */
     @Test
     void olderReportDoesNotRevertANewerHeartbeat() {
-        MemberTable one = tables.get(0);
-        one.receive(new MemberHeartbeat("front-7".hashCode(), 1, 50, MemberPhase.MEMBER_LEAVING), 10);
+        MemberTable table = tables.get(0);
+        table.receive(new MemberHeartbeat("front-7".hashCode(), 1, 50, MemberPhase.MEMBER_LEAVING), 10);
         assertThat(
-                one.receive(report(7).toBuilder().setSequence(40).setRevision(9).build(), 20), is(true));
-        Member member = one.all().stream()
+                table.receive(
+                        report(7).toBuilder().setSequence(40).setRevision(9).build(), 20),
+                is(true));
+        Member member = table.all().stream()
                 .filter(known -> known.report().getName().equals("front-7"))
                 .findFirst()
                 .orElseThrow();
@@ -102,23 +111,23 @@
         assertThat(member.receivedAtMillis(), is(10L));
     }
 
-    private boolean aliveInAnyTable(int living) {
-        String dead = "front-" + living;
-        return tables.subList(0, living).stream()
+    private boolean aliveInAnyTable(int liveCount) {
+        String dead = "front-" + liveCount;
+        return tables.subList(0, liveCount).stream()
                 .flatMap(table -> table.alive(nowMillis).stream())
                 .anyMatch(member -> member.report().getName().equals(dead));
     }
 
-    private void gossipRound(int living) {
+    private void gossipRound(int liveCount) {
         nowMillis += GOSSIP_INTERVAL_MILLIS;
-        for (int from = 0; from < living; from++) {
+        for (int from = 0; from < liveCount; from++) {
             MemberTable table = tables.get(from);
             table.updateLocalReport(report(from).toBuilder());
-            List<MemberHeartbeat> beats = table.heartbeats(90, nowMillis);
+            List<MemberHeartbeat> heartbeats = table.heartbeats(90, nowMillis);
             for (int i = 0; i < FAN_OUT; i++) {
-                MemberTable hearer = tables.get(random.nextInt(living));
+                MemberTable receiver = tables.get(random.nextInt(liveCount));
                 if (random.nextDouble() >= DATAGRAM_LOSS_RATIO) {
-                    beats.forEach(beat -> hearer.receive(beat, nowMillis));
+                    heartbeats.forEach(heartbeat -> receiver.receive(heartbeat, nowMillis));
                 }
             }
         }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/ItemMirrorTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/ItemMirrorTest.java
@@ -14,8 +14,8 @@
     private final ItemMirror mirror = new ItemMirror();
 
     /**
-     * The service's history was dropped while a target left, so the watch missed the removal. The copy that replaces it
-     * must show the removal, or the target would get requests after its end.
+     * The service dropped its history while a target was removed, so the watch missed the removal. The full copy that
+     * follows must report the removal; otherwise the target would get requests after its end.
      */
     @Test
     void copyRevealsRemovalsTheWatchMissed() {
@@ -25,7 +25,7 @@
         assertThat(changed.get(0).removed(), is(true));
     }
 
-    /** A process reads the service after an outage and gets an answer that is older than what peers told it. */
+    /** After an outage, the service returns a copy that is older than the changes received from peers. */
     @Test
     void olderCopyChangesNothing() {
         mirror.replace(List.of(item("a", 5)), 9);
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Pages of a copy are read one after another, so an item of a later page may be newer than the revision from which
-     * the watch goes on. The watch then repeats older changes of it; taking them would bring back a revoked key, or
-     * call a target gone that has come back.
+     * Pages of a copy are read one after another, so an item of a later page may be newer than the revision at which
+     * the watch starts. The watch then repeats older changes of the item. Applying them would restore a revoked key or
+     * remove a target that was published again.
      */
     @Test
     void watchDoesNotRevertAnItemNewerThanItsStart() {
@@ -48,7 +48,7 @@
         assertThat(mirror.apply(List.of(item("a", 11)), 11), hasSize(1));
     }
 
-    /** Guards against sending every version that a peer missed, though it needs the newest only. */
+    /** Guards against sending every version that a peer missed, although it needs only the newest. */
     @Test
     void peerThatMissedVersionsGetsTheNewestOnly() {
         mirror.replace(List.of(item("a", 1), item("b", 1)), 1);
@@ -60,7 +60,7 @@
         assertThat(changes.get(0).revision(), is(9L));
     }
 
-    /** Guards against news of a removal that is lost once the item's earlier versions are not kept any more. */
+    /** Guards against losing a removal because the item's earlier versions are no longer retained. */
     @Test
     void peerReceivesARemovalAfterManyOtherChanges() {
         mirror.replace(List.of(item("a", 1), item("b", 1)), 1);
@@ -73,7 +73,7 @@
         assertThat(changes.stream().filter(PublishedValue::removed).count(), is(1L));
     }
 
-    /** Guards against a removal that is told although the item has come back. */
+    /** Guards against reporting a removal although the item was published again. */
     @Test
     void recreatedItemIsNotReportedAsRemoved() {
         mirror.replace(List.of(item("a", 1)), 1);
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/MemberTableTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/MemberTableTest.java
@@ -38,9 +38,9 @@
     }
 
     /**
-     * A process is killed and starts again on a host whose time of day was set back in between. Its new incarnation is
-     * lower than the old one that its peers remember, so they would take its reports for stale ones and leave it out of
-     * the directory for as long as the clock was set back.
+     * A process is killed and restarted on a host whose wall clock was set back in between. Its new incarnation is
+     * lower than the one its peers know. They would ignore its reports as stale and leave it out of the directory for
+     * as long as the clock was set back.
      */
     @Test
     void higherIncarnationOfTheLocalProcessIsExceeded() {
@@ -49,25 +49,26 @@
     }
 
     /**
-     * Ninety fronts serve and an answer of the directory has room for sixty-four. Named always in the same order, the
-     * last twenty-six would stand nearly idle while callers of the others are refused for want of a connection.
+     * Ninety fronts serve, and an answer of the directory has room for sixty-four. If the answers always listed the
+     * same fronts, the other twenty-six would be nearly idle while callers of the listed ones are rejected for lack of
+     * connections.
      */
     @Test
     void everyProcessOfALargeFleetIsReturnedEquallyOften() {
         table.updateLocalReport(Fixtures.report("own", 100, 0).toBuilder());
-        Map<String, Integer> named = new HashMap<>();
+        Map<String, Integer> listings = new HashMap<>();
         for (int i = 0; i < 90; i++) {
             table.receive(Fixtures.report("front-" + i, 1, 1), 0);
         }
         Random random = new Random(1);
-        for (int answer = 0; answer < 1_000; answer++) {
-            List<MemberReport> drawn = table.sampleServing(0, 64, random);
-            assertThat(drawn, hasSize(64));
-            drawn.forEach(report -> named.merge(report.getName(), 1, Integer::sum));
+        for (int round = 0; round < 1_000; round++) {
+            List<MemberReport> sample = table.sampleServing(0, 64, random);
+            assertThat(sample, hasSize(64));
+            sample.forEach(report -> listings.merge(report.getName(), 1, Integer::sum));
         }
-        assertThat(named.remove("own"), is(1_000));
-        assertThat(named.size(), is(90));
-        assertThat(Collections.min(named.values()), greaterThan(630));
+        assertThat(listings.remove("own"), is(1_000));
+        assertThat(listings.size(), is(90));
+        assertThat(Collections.min(listings.values()), greaterThan(630));
     }
 
     @Test
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/QuotaLedgerTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/QuotaLedgerTest.java
@@ -13,8 +13,8 @@
 
 /**
  * One organisation sends six times its quota to seven processes. The figures are those of the smaller deployment: a
- * quota of 36,000 tokens a second with as much saved up, requests of 1,500 tokens, news every 150 ms, a window of 8 s
- * in which a quarter and 140,000 tokens more are borne.
+ * quota of 36,000 tokens per second with a burst of the same size, requests of 1,500 tokens, gossip every 150 ms, and a
+ * window of 8 s in which a quarter plus 140,000 tokens above the quota are tolerated.
  */
 class QuotaLedgerTest {
     private static final int PROCESSES = 7;
@@ -32,8 +32,8 @@
     }
 
     /**
-     * A network partition parts the processes three to four. Neither half hears what the other admits, and the
-     * organisation sends to both; without a share left to the other half, twice the quota would be admitted.
+     * A network partition separates three processes from the other four. Neither side receives the other's reports, and
+     * the organisation sends to both. Without a share left to the other side, twice the quota would be admitted.
      */
     @Test
     void partitionedHalvesKeepToTheQuotaTogether() {
@@ -47,8 +47,8 @@
     }
 
     /**
-     * All processes are killed at once and start again with empty memories while the organisation keeps sending. Each
-     * would give the whole burst anew; the window then holds the admissions of both lives.
+     * All processes are killed at once and restart without state while the organisation keeps sending. If each granted
+     * the whole burst again, the window would contain the admissions from before and after the restart.
      */
     @Test
     void restartOfAllProcessesKeepsToTheQuota() {
@@ -58,9 +58,9 @@
     }
 
     /**
-     * In overload most requests are refused for want of a place after their quota was taken. What they give back must
-     * reach the other processes, or these would count it as used and refuse an organisation that is far below its
-     * quota.
+     * In overload, most requests are admitted by the quota and then rejected because no capacity is free. Their refunds
+     * must reach the other processes, which would otherwise count the tokens as used and reject an organisation that is
+     * far below its quota.
      */
     @Test
     void refundsReachOtherProcesses() {
@@ -78,8 +78,8 @@
     }
 
     /**
-     * An organisation over its quota sends a hundred requests at once. If all were told to come back when the quota
-     * admits again, all but one would be refused a second time.
+     * An organisation over its quota sends a hundred requests at once. If all got the same Retry-After delay, until the
+     * quota admits again, all but one would be rejected a second time.
      */
     @Test
     void retryAfterDelaysOfRejectedCallersAreStaggered() {
@@ -97,8 +97,8 @@
     }
 
     /**
-     * A peer is restarted many times a day. Each lifetime counted as one more process would divide the quota among dead
-     * ones, and refused callers would be told to stay away ever longer.
+     * A peer is restarted many times a day. If each incarnation counted as one more process, the quota would be divided
+     * among dead processes, and rejected callers would get ever longer Retry-After delays.
      */
     @Test
     void peerRestartsDoNotLengthenTheRetryAfterDelay() {
@@ -118,8 +118,8 @@
     }
 
     /**
-     * A front is restarted in the middle of a day and hears what its peers have admitted since their start. Taken for
-     * use of this moment, that would be a debt of half a minute's quota, and the front would refuse everybody.
+     * A front is restarted during a day and receives the totals that its peers have admitted since their start. Charged
+     * as current usage, they would be a debt of half a minute's quota, and the front would reject every request.
      */
     @Test
     void totalsFromBeforeTheLocalStartAreNoDebt() {
@@ -132,8 +132,8 @@
     }
 
     /**
-     * A coordinator admits for another front, and that front says later what it admitted. Counted twice, half of the
-     * quota would be lost.
+     * A coordinator admits a request for another front, which later reports the same tokens as admitted. Counted twice,
+     * half of the quota would be lost.
      */
     @Test
     void admissionForAnotherProcessIsCountedOnce() {
@@ -148,8 +148,8 @@
     }
 
     /**
-     * An organisation sends seven times its quota to ninety fronts at once, and no coordinator can be asked. For the
-     * second until they hear of each other, each front has the whole bucket before it.
+     * An organisation sends seven times its quota to ninety fronts at once, and no coordinator is available. Each front
+     * has the whole bucket for the second until it receives the reports of the others.
      */
     @Test
     void uncoordinatedLargeFleetOverspendsByLittle() {
@@ -166,17 +166,20 @@
         assertThat((double) admitted, lessThan(2.6 * 90 * RATE));
     }
 
-    private static List<QuotaLedger> fleet(boolean fresh) {
+    private static List<QuotaLedger> fleet(boolean freshFleet) {
         List<QuotaLedger> fleet = new ArrayList<>();
         for (int i = 0; i < PROCESSES; i++) {
-            QuotaLedger ledger = new QuotaLedger(fresh);
-            ledger.update(Fixtures.catalog(1, RATE, RATE), fresh ? 0 : 4_000);
+            QuotaLedger ledger = new QuotaLedger(freshFleet);
+            ledger.update(Fixtures.catalog(1, RATE, RATE), freshFleet ? 0 : 4_000);
             fleet.add(ledger);
         }
         return fleet;
     }
 
-    /** Sends six times the quota; the first processes hear only each other, the rest likewise. */
+    /**
+     * Sends six times the quota. The processes of the first group exchange reports only among themselves, as do the
+     * rest.
+     */
     private static long flood(List<QuotaLedger> fleet, int firstGroup, long fromMillis, long toMillis) {
         long admitted = 0;
         for (long now = fromMillis; now < toMillis; now++) {
@@ -197,10 +200,10 @@
                 boolean sameGroup = from < firstGroup == to < firstGroup;
                 if (from != to && sameGroup) {
                     String process = "front-" + from;
-                    QuotaLedger hearer = fleet.get(to);
+                    QuotaLedger receiver = fleet.get(to);
                     fleet.get(from)
                             .admittedTotals()
-                            .forEach((digest, total) -> hearer.receiveTotal(process, 1, digest, total, now));
+                            .forEach((digest, total) -> receiver.receiveTotal(process, 1, digest, total, now));
                 }
             }
         }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/RetryBudgetTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/RetryBudgetTest.java
@@ -8,12 +8,12 @@
 
 class RetryBudgetTest {
     /**
-     * Every answer of a service is lost for four seconds. If each request went out twice, the service would get double
-     * its load just when it fails; seven processes together must stay under a fifth of the requests and 54 more.
+     * Every answer of a service is lost for four seconds. If each request were retried, the load on the failing service
+     * would double. Retries of seven processes together must not exceed a fifth of the requests plus 54.
      */
     @Test
     void sevenProcessesTogetherKeepToTheFleetsBound() {
-        int repeats = 0;
+        int retries = 0;
         int requests = 0;
         for (int process = 0; process < 7; process++) {
             RetryBudget budget = new RetryBudget(0.2, 10_000);
@@ -21,10 +21,10 @@
                 budget.recordRequest(now);
                 requests++;
                 if (budget.tryRetry(now, 54 / 8.0)) {
-                    repeats++;
+                    retries++;
                 }
             }
         }
-        assertThat((double) repeats, lessThanOrEqualTo(requests * 0.2 + 54));
+        assertThat((double) retries, lessThanOrEqualTo(requests * 0.2 + 54));
     }
 }
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TargetHealthTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TargetHealthTest.java
@@ -10,8 +10,8 @@
     private final TargetHealth health = new TargetHealth();
 
     /**
-     * A target answers its health check and fails nearly half of its requests. No two failures in a row need come, so
-     * only their share shows it.
+     * A target passes its health check but fails nearly half of its requests. Failures need not be consecutive, so only
+     * their share reveals the fault.
      */
     @Test
     void errorShareEjects() {
@@ -25,7 +25,7 @@
         assertThat(ejected, is(true));
     }
 
-    /** One request in seven of the booking service's look-ups ends with an error of its own on sound targets. */
+    /** One in seven lookups of the booking service ends with an error even on healthy targets. */
     @Test
     void usualErrorsDoNotEject() {
         for (int i = 0; i < 700; i++) {
@@ -48,8 +48,8 @@
     }
 
     /**
-     * An engine hangs and passes its health checks all the same. Each time it comes back into use it would be filled to
-     * its last slot, and all these summaries would wait for nothing until their deadline.
+     * An engine hangs but still passes its health checks. Each time it returned from ejection, all its slots would be
+     * filled, and those requests would wait in vain until their deadline.
      */
     @Test
     void targetOnTrialGetsOneRequestAtATimeUntilAnAnswerStarts() {
