--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemsAnswerCodec.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/ItemsAnswerCodec.java
@@ -16,7 +16,7 @@
  * are similar and compress well.
  */
 final class ItemsAnswerCodec {
-    /** Minimum size of a compressed answer; a smaller one fits into one packet uncompressed. */
+    /** Serialized size from which an answer is compressed; a smaller one fits into one packet uncompressed. */
     private static final int COMPRESSION_THRESHOLD_BYTES = 1_400;
 
     private ItemsAnswerCodec() {}
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/RequestHead.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/RequestHead.java
@@ -69,7 +69,7 @@
     /**
      * Returns whether the request specifies its token counts.
      *
-     * @return true when it does
+     * @return true when the request carries them
      */
     boolean hasTokenCounts();
 
