--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/CoordinationTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/CoordinationTest.java
@@ -13,23 +13,23 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Fronts that place the requests of engines together. */
+/** Tests fronts that place the requests of an engine through a common coordinator. */
 class CoordinationTest {
     private static final int FRONTS = 3;
     private static final long TIMEOUT_MILLIS = 100_000;
-    /** Long enough that no request is refused while the test looks at it. */
+    /** Long enough that no request is rejected during a test. */
     private static final long OBJECTIVE_MILLIS = 10_000;
 
     private final List<FrontFixture> fronts = new ArrayList<>();
 
-    private void startFleet(long coordinatorSilentMillis) throws Exception {
-        fronts.add(new FrontFixture(List.of(), coordinatorSilentMillis));
+    private void startFleet(long coordinatorTimeoutMillis) throws Exception {
+        fronts.add(new FrontFixture(List.of(), coordinatorTimeoutMillis));
         while (fronts.size() < FRONTS) {
-            fronts.add(new FrontFixture(List.of(fronts.get(0).ip()), coordinatorSilentMillis));
+            fronts.add(new FrontFixture(List.of(fronts.get(0).ip()), coordinatorTimeoutMillis));
         }
-        fronts.forEach(front -> front.catalog(2, TIMEOUT_MILLIS, true, OBJECTIVE_MILLIS));
+        fronts.forEach(front -> front.publishCatalog(2, TIMEOUT_MILLIS, true, OBJECTIVE_MILLIS));
         for (FrontFixture front : fronts) {
-            FrontFixture.await(() -> front.addresses() == FRONTS);
+            FrontFixture.await(() -> front.advertisedFronts() == FRONTS);
         }
     }
 
@@ -41,41 +41,43 @@
     }
 
     /**
-     * Two fronts get a request each for an engine with one slot. On its own, each would take the slot for free, and the
-     * second request would wait inside the engine, where no tier goes before another.
+     * Two fronts receive one request each for an engine with one slot. Without a coordinator, each front takes the slot
+     * to be free, and the second request is queued inside the engine, where higher tiers have no priority.
      */
     @Test
-    void oneSlotIsGivenOnceByAllFrontsTogether() throws Exception {
-        // A busy machine must not make a coordinator look silent here.
+    void oneSlotIsGrantedOnceAcrossFronts() throws Exception {
+        // A high timeout, so that the coordinator is not taken for silent on a busy machine.
         startFleet(TIMEOUT_MILLIS);
-        CountDownLatch answerNow = new CountDownLatch(1);
-        FakeTarget engine = engine(1, answerNow);
+        CountDownLatch answerAllowed = new CountDownLatch(1);
+        FakeTarget engine = engine(1, answerAllowed);
         try (Socket first = fronts.get(0).connect();
                 Socket second = fronts.get(1).connect()) {
             FakeTarget.write(first, FrontFixture.request("POST", "/unsafe/x", "a", true));
             FrontFixture.await(() -> engine.requests().size() == 1);
             FakeTarget.write(second, FrontFixture.request("POST", "/unsafe/x", "b", true));
-            FrontFixture.await(() -> waitingTogether() == 1);
+            FrontFixture.await(() -> queuedRequests() == 1);
             assertThat(engine.requests(), hasSize(1));
-            answerNow.countDown();
+            answerAllowed.countDown();
             assertThat(FrontFixture.readAll(first), endsWith("whole"));
             assertThat(FrontFixture.readAll(second), endsWith("whole"));
         }
     }
 
     /**
-     * The process that places all requests is killed. The others notice by its silence, and each request is answered
-     * all the same, whichever front it comes to.
+     * The coordinator is killed. The other fronts detect its silence, and every request is still answered, whichever
+     * front receives it.
      */
     @Test
-    void deathOfTheCoordinatorFailsNoRequest() throws Exception {
+    void killedCoordinatorFailsNoRequest() throws Exception {
         startFleet(100);
         FakeTarget engine = engine(8, new CountDownLatch(0));
         fronts.get(0).exchange(FrontFixture.request("POST", "/unsafe/x", "first", true));
-        FrontFixture coordinator =
-                fronts.stream().filter(front -> coordinates(front)).findFirst().orElseThrow();
+        FrontFixture coordinator = fronts.stream()
+                .filter(front -> isCoordinator(front))
+                .findFirst()
+                .orElseThrow();
         fronts.remove(coordinator);
-        coordinator.stopWithoutAWord();
+        coordinator.kill();
         for (FrontFixture front : fronts) {
             String answer = front.exchange(FrontFixture.request("POST", "/unsafe/x", "after-" + front.ip(), true));
             assertThat(answer, startsWith("HTTP/1.1 200"));
@@ -83,25 +85,25 @@
         assertThat(engine.requests(), hasSize(FRONTS));
     }
 
-    private FakeTarget engine(int slots, CountDownLatch answerNow) throws IOException {
+    private FakeTarget engine(int slots, CountDownLatch answerAllowed) throws IOException {
         FakeTarget engine = new FakeTarget("127.0.0.1", (request, socket) -> {
-            FrontFixture.awaitLatch(answerNow);
+            FrontFixture.awaitLatch(answerAllowed);
             FakeTarget.write(socket, FakeTarget.answer(request, 200, "whole"));
         });
         fronts.forEach(front -> front.publish("engine", "127.0.0.1", engine.port(), slots));
         return engine;
     }
 
-    private int waitingTogether() {
+    private int queuedRequests() {
         int[] sum = new int[1];
         fronts.forEach(
-                front -> front.run(() -> sum[0] += front.front().coordination().waiting()));
+                front -> front.run(() -> sum[0] += front.front().coordination().queuedRequests()));
         return sum[0];
     }
 
-    private static boolean coordinates(FrontFixture front) {
-        boolean[] own = new boolean[1];
-        front.run(() -> own[0] = !front.front().coordination().asksElsewhere("service"));
-        return own[0];
+    private static boolean isCoordinator(FrontFixture front) {
+        boolean[] result = new boolean[1];
+        front.run(() -> result[0] = !front.front().coordination().hasRemoteCoordinator("service"));
+        return result[0];
     }
 }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FakeTarget.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FakeTarget.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** A target that answers each request as its script says. */
+/** Target that answers each request by running a script. */
 final class FakeTarget implements AutoCloseable {
     /** Answers one request; the connection stays open unless the script closes it. */
     interface Script {
@@ -22,7 +22,7 @@
     private final ServerSocket server;
     private final Script script;
     private final List<String> requests = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<String> closed = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
 
     FakeTarget(String ip, Script script) throws IOException {
         this.script = script;
@@ -36,36 +36,39 @@
         return server.getLocalPort();
     }
 
-    /** Returns the heads of all requests so far. */
+    /** Returns the heads of all requests received so far. */
     List<String> requests() {
         return requests;
     }
 
-    /** Connections that the other side closed, in order. */
-    BlockingQueue<String> closed() {
-        return closed;
+    /**
+     * Returns the closed connections in order: for each, the head of its last request, with the error if reading or
+     * answering failed.
+     */
+    BlockingQueue<String> closedConnections() {
+        return closedConnections;
     }
 
-    /** Writes text as it is. */
+    /** Writes text unchanged. */
     static void write(Socket socket, String text) throws IOException {
         OutputStream out = socket.getOutputStream();
         out.write(text.getBytes(StandardCharsets.US_ASCII));
         out.flush();
     }
 
-    /** Makes a whole signed answer. */
+    /** Returns a complete signed response. */
     static String answer(String request, int status, String body) {
-        return "HTTP/1.1 " + status + " X\r\nAttempt: " + attempt(request) + "\r\nSigned: yes\r\nContent-Length: "
+        return "HTTP/1.1 " + status + " X\r\nAttempt: " + attemptId(request) + "\r\nSigned: yes\r\nContent-Length: "
                 + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Makes one chunk of an answer that is sent in chunks. */
+    /** Returns one chunk of a response in chunked transfer encoding. */
     static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** Returns the attempt that a request names. */
-    static String attempt(String request) {
+    /** Returns the attempt id that a request carries. */
+    static String attemptId(String request) {
         for (String line : request.split("\r\n")) {
             if (line.regionMatches(true, 0, "Attempt:", 0, 8)) {
                 return line.substring(8).trim();
@@ -101,7 +104,7 @@
         } catch (IOException e) {
             last = last + e.getMessage();
         }
-        closed.add(last);
+        closedConnections.add(last);
     }
 
     private static String readHead(InputStream in) throws IOException {
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FleetTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/FleetTest.java
@@ -17,80 +17,83 @@
 import org.junit.jupiter.api.Test;
 import org.whinwharf.traffic.items.PublishedValue;
 
-/** Fronts that act together. */
+/** Tests the interaction of several fronts. */
 class FleetTest {
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     @Test
-    void frontsNameEachOtherToCallers() throws Exception {
+    void frontsAdvertiseEachOtherToCallers() throws Exception {
         try (FrontFixture one = new FrontFixture();
                 FrontFixture two = new FrontFixture(List.of(one.ip()))) {
-            one.catalog(1, 1_000);
-            two.catalog(1, 1_000);
-            FrontFixture.await(() -> one.addresses() == 2 && two.addresses() == 2);
+            one.publishCatalog(1, 1_000);
+            two.publishCatalog(1, 1_000);
+            FrontFixture.await(() -> one.advertisedFronts() == 2 && two.advertisedFronts() == 2);
         }
     }
 
     /**
-     * The publishing service turns one front away and serves the others. A key that is taken away meanwhile would go on
-     * working there; the front hears of it from a peer.
+     * The publishing service rejects one front and serves the others. Without its peers, that front would keep
+     * accepting a key that is revoked meanwhile; it receives the change from a peer.
      */
     @Test
-    void frontThatCannotReadTheServiceHearsItemsFromAPeer() throws Exception {
+    void frontThatCannotReadTheServiceReceivesItemsFromAPeer() throws Exception {
         try (FrontFixture one = new FrontFixture();
                 FrontFixture two = new FrontFixture(List.of(one.ip()))) {
-            BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-            two.run(() -> two.front().feed().listener((value, duringService, away) -> heard.add(value.key())));
-            one.run(() -> one.front().feed().copied(List.of(item("routes", 3)), 3));
-            assertThat(heard.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), is("routes"));
-            one.run(() -> one.front().feed().watched(List.of(item("keys", 4)), 4));
-            assertThat(heard.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), is("keys"));
+            BlockingQueue<String> received = new LinkedBlockingQueue<>();
+            two.run(() -> two.front()
+                    .feed()
+                    .listener((value, afterInitialCopy, readableForMillis) -> received.add(value.key())));
+            one.run(() -> one.front().feed().applySnapshot(List.of(item("routes", 3)), 3));
+            assertThat(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), is("routes"));
+            one.run(() -> one.front().feed().applyWatchEvents(List.of(item("keys", 4)), 4));
+            assertThat(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), is("keys"));
         }
     }
 
     /**
-     * A front is stopped for a replacement while it answers a request and a caller still comes with an older list of
-     * addresses. Both get their answers, and its peers name it to nobody any more.
+     * A front is stopped for a replacement while it handles a request, and another caller connects with an older list
+     * of addresses. Both receive their responses, and the peers no longer give out the front's address.
      */
     @Test
-    void plannedStopCutsOffNoRequest() throws Exception {
-        CountDownLatch answerNow = new CountDownLatch(1);
+    void plannedStopInterruptsNoRequest() throws Exception {
+        CountDownLatch answerAllowed = new CountDownLatch(1);
         try (FrontFixture one = new FrontFixture();
                 FrontFixture two = new FrontFixture(List.of(one.ip()))) {
             FakeTarget target = one.target("t", (request, socket) -> {
-                FrontFixture.awaitLatch(answerNow);
+                FrontFixture.awaitLatch(answerAllowed);
                 FakeTarget.write(socket, FakeTarget.answer(request, 200, "whole"));
             });
-            one.catalog(1, 15_000);
-            two.catalog(1, 1_000);
-            FrontFixture.await(() -> two.addresses() == 2);
+            one.publishCatalog(1, 15_000);
+            two.publishCatalog(1, 1_000);
+            FrontFixture.await(() -> two.advertisedFronts() == 2);
             try (Socket early = one.connect()) {
                 FakeTarget.write(early, FrontFixture.request("POST", "/unsafe/x", "a", false));
                 FrontFixture.await(() -> target.requests().size() == 1);
                 CountDownLatch ended = new CountDownLatch(1);
-                one.front().whenEnded(ended::countDown);
+                one.front().onStopped(ended::countDown);
                 one.front().stop();
-                FrontFixture.await(() -> two.addresses() == 1 && !one.front().ready());
-                answerNow.countDown();
+                FrontFixture.await(
+                        () -> two.advertisedFronts() == 1 && !one.front().ready());
+                answerAllowed.countDown();
                 assertThat(FrontFixture.readAll(early), endsWith("whole"));
                 String late = one.exchange(FrontFixture.request("POST", "/unsafe/x", "b", false));
                 assertThat(late, startsWith("HTTP/1.1 200"));
-                assertThat(ended.await(PATIENCE_SECONDS, TimeUnit.SECONDS), is(true));
+                assertThat(ended.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), is(true));
                 assertThat(target.requests(), hasSize(2));
             }
         }
     }
 
-    /** A front is killed. Callers must not be sent to it for longer than a few lost reports take. */
+    /** A front is killed. Its peers must stop giving out its address once a few of its reports are missing. */
     @Test
-    void silentFrontIsNamedNoMore() throws Exception {
+    void silentFrontIsNoLongerAdvertised() throws Exception {
         try (FrontFixture two = new FrontFixture()) {
-            two.catalog(1, 1_000);
+            two.publishCatalog(1, 1_000);
             try (FrontFixture one = new FrontFixture(List.of(two.ip()))) {
-                one.catalog(1, 1_000);
-                FrontFixture.await(() -> two.addresses() == 2);
+                one.publishCatalog(1, 1_000);
+                FrontFixture.await(() -> two.advertisedFronts() == 2);
             }
-            FrontFixture.await(() -> two.addresses() == 1);
+            FrontFixture.await(() -> two.advertisedFronts() == 1);
             assertThat(two.front().callerAddresses(64), contains(startsWith(two.ip() + ":")));
         }
     }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemFeedTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemFeedTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.whinwharf.traffic.items.ItemMirror;
 import org.whinwharf.traffic.items.PublishedValue;
-import org.whinwharf.traffic.member.Beat;
+import org.whinwharf.traffic.member.MemberHeartbeat;
 import org.whinwharf.traffic.member.MemberTable;
 import org.whinwharf.wire.fleet.ItemsAnswer;
 import org.whinwharf.wire.fleet.MemberPhase;
@@ -23,14 +23,14 @@
 import org.whinwharf.wire.fleet.PublishedItem;
 
 class ItemFeedTest {
-    private static final int FLEET = 20;
-    /** Longer than any watch that works is silent. */
+    private static final int FLEET_SIZE = 20;
+    /** Age of stale items; a working watch answers sooner than this. */
     private static final int STALE_MILLIS = 5_000;
-    /** Shortest time in use within which a change must be in force. */
-    private static final long SHORTEST_BOUND_MILLIS = 2_000;
+    /** Shortest limit in use for applying a change. */
+    private static final long MIN_APPLY_LIMIT_MILLIS = 2_000;
 
     private final MemberTable members = new MemberTable(report("front-50", 0, false));
-    private final Peers peers = new Peers();
+    private final FakePeers peers = new FakePeers();
     private long nowMillis;
     private final ItemFeed feed = new ItemFeed(
             FeedFixture.settings("front-50", "10.0.0.50", "a"),
@@ -41,206 +41,211 @@
             new Random(1));
 
     /**
-     * A front is added to a large fleet. It knows nobody yet and watches the service; then it hears of the others and
-     * stops. Until its last watch is three seconds old it would ask nobody, and serve by the configuration of that
-     * moment.
+     * Guards against a front that stops watching and serves an old configuration. A front added to a large fleet knows
+     * no member and watches the service until it receives the reports of the others. Without a request to a peer at
+     * that moment it would keep its configuration until its last watch is three seconds old.
      */
     @Test
     void frontThatStopsWatchingAsksPeersAtOnce() {
-        feed.watched(List.of(), 41);
+        feed.applyWatchEvents(List.of(), 41);
         feed.tick();
-        assertThat(peers.asked, is(empty()));
-        hearFleet(41);
+        assertThat(peers.requests, is(empty()));
+        receiveFleetReports(41);
         feed.tick();
-        assertThat(peers.asked.size(), is(1));
+        assertThat(peers.requests.size(), is(1));
     }
 
     /**
-     * The peer that was asked is cut off from the service and keeps the question for a second, having nothing to tell.
-     * All the while others say in their reports that they know better.
+     * Guards against waiting for a peer that is cut off from the service. It holds the request for a second, because it
+     * has no newer items, while other peers already report a newer revision.
      */
     @Test
     void peerThatKnowsNewerItemsIsAskedAtOnce() {
-        hearFleet(41);
-        feed.watched(List.of(), 41);
+        receiveFleetReports(41);
+        feed.applyWatchEvents(List.of(), 41);
         feed.tick();
-        peers.asked.clear();
-        feed.heard(report("front-07", 44, false));
-        assertThat(peers.asked, contains("10.0.0.7 0"));
-        feed.heard(report("front-08", 44, false));
-        assertThat(peers.asked, contains("10.0.0.7 0"));
+        peers.requests.clear();
+        feed.reportReceived(report("front-07", 44, false));
+        assertThat(peers.requests, contains("10.0.0.7 0"));
+        feed.reportReceived(report("front-08", 44, false));
+        assertThat(peers.requests, contains("10.0.0.7 0"));
         peers.answerLast(44);
         assertThat(feed.revision(), is(44L));
     }
 
-    /** Guards against asking the peer that answered last for ever, though it is cut off now and others answer. */
+    /** Guards against polling the last peer that answered indefinitely after it is cut off, while others answer. */
     @Test
     void peerThatDoesNotAnswerIsNotPreferred() {
-        hearFleet(41);
-        feed.watched(List.of(), 41);
+        receiveFleetReports(41);
+        feed.applyWatchEvents(List.of(), 41);
         nowMillis = 1;
         for (int i = 0; i < 30; i++) {
             feed.tick();
-            peers.last.accept(Optional.empty());
+            peers.lastCallback.accept(Optional.empty());
         }
-        assertThat(new HashSet<>(peers.asked).size(), greaterThan(1));
+        assertThat(new HashSet<>(peers.requests).size(), greaterThan(1));
     }
 
-    /** Guards against going from peer to peer while one answers: each change costs both sides a connection. */
+    /** Guards against switching peers while one answers: each switch costs both sides a connection. */
     @Test
     void peerThatAnswersIsAskedAgain() {
-        hearFleet(41);
-        feed.watched(List.of(), 41);
+        receiveFleetReports(41);
+        feed.applyWatchEvents(List.of(), 41);
         for (int i = 0; i < 30; i++) {
             feed.tick();
             peers.answerLast(41);
         }
-        assertThat(new HashSet<>(peers.asked).size(), is(1));
+        assertThat(new HashSet<>(peers.requests).size(), is(1));
     }
 
     /**
-     * A front was cut off from the service for eight seconds and reads it again. A second and a half later an engine's
-     * entry is removed, since it leaves. Taken for one that lapsed in an outage and may come back for two seconds from
-     * now on, the engine would get requests later than two seconds after it left.
+     * Guards against sending requests to an engine for longer than two seconds after it left. A front that was cut off
+     * for eight seconds reads the service again; 1.5 seconds later the entry of an engine is removed because it leaves.
+     * If the front treated the entry as one that expired in the outage and may return for two seconds from now on, it
+     * would exceed that limit.
      */
     @Test
-    void removalIsJudgedByTheReturnOfTheServiceAndNotByItsOwnTime() {
+    void removalReportsTimeSinceServiceReturned() {
         List<Long> readableForMillis = new ArrayList<>();
-        feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
-        feed.copied(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
+        feed.listener((value, afterInitialSnapshot, readable) -> readableForMillis.add(readable));
+        feed.applySnapshot(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
         nowMillis = 10_000;
-        feed.sourceFailed("cut");
+        feed.serviceReadFailed("cut");
         nowMillis = 10_400;
-        feed.watched(List.of(), 41);
+        feed.applyWatchEvents(List.of(), 41);
         nowMillis = 11_900;
-        feed.watched(List.of(new PublishedValue("servers/e", null, 42)), 42);
+        feed.applyWatchEvents(List.of(new PublishedValue("servers/e", null, 42)), 42);
         assertThat(readableForMillis, contains(Long.MAX_VALUE, 1_500L));
     }
 
     /**
-     * Entries lapse while the service is away, and their targets live: as long as it is away nothing counts as gone.
+     * Guards against dropping live targets in an outage: their entries expire while the service is unreadable, so no
+     * removal counts as final until it returns.
      */
     @Test
-    void removalWhileTheServiceIsAwayMayBeALapse() {
+    void removalDuringOutageMayBeExpiry() {
         List<Long> readableForMillis = new ArrayList<>();
-        feed.copied(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
-        feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
+        feed.applySnapshot(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
+        feed.listener((value, afterInitialSnapshot, readable) -> readableForMillis.add(readable));
         nowMillis = 10_000;
-        hearFleet(42);
-        feed.sourceFailed("down");
+        receiveFleetReports(42);
+        feed.serviceReadFailed("down");
         feed.tick();
         peers.answerLast(42, "servers/e");
         assertThat(readableForMillis, contains(0L));
     }
 
-    /** Guards against sending to a target that left, since this front alone was cut off from the service. */
+    /** Guards against sending to a target that left, when only this front was cut off from the service. */
     @Test
-    void removalThatAPeerInTouchTellsIsNoLapse() {
+    void removalReportedByConnectedPeerIsNotExpiry() {
         List<Long> readableForMillis = new ArrayList<>();
-        feed.copied(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
-        feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
+        feed.applySnapshot(List.of(new PublishedValue("servers/e", new byte[0], 40)), 40);
+        feed.listener((value, afterInitialSnapshot, readable) -> readableForMillis.add(readable));
         nowMillis = 10_000;
-        hearFleet(42);
-        feed.sourceFailed("reset");
+        receiveFleetReports(42);
+        feed.serviceReadFailed("reset");
         feed.tick();
         peers.answerLast(removal(42, "servers/e").setReadableMillis(60_000));
         assertThat(readableForMillis, contains(Long.MAX_VALUE));
     }
 
-    /** Guards against dropping targets whose entries lapsed in an outage that this front did not see itself. */
+    /** Guards against dropping targets whose entries expired in an outage that only a peer saw. */
     @Test
-    void removalRightAfterAnOutageThatAPeerSawMayBeALapse() {
+    void removalSoonAfterOutageSeenByPeerMayBeExpiry() {
         List<Long> readableForMillis = new ArrayList<>();
-        hearFleet(42);
+        receiveFleetReports(42);
         feed.tick();
         peers.answerLast(40);
-        feed.listener((value, duringService, readable) -> readableForMillis.add(readable));
-        feed.watched(List.of(new PublishedValue("servers/e", new byte[0], 41)), 41);
+        feed.listener((value, afterInitialSnapshot, readable) -> readableForMillis.add(readable));
+        feed.applyWatchEvents(List.of(new PublishedValue("servers/e", new byte[0], 41)), 41);
         nowMillis = 10_000;
-        hearFleet(42);
+        receiveFleetReports(42);
         feed.tick();
         peers.answerLast(removal(42, "servers/e").setReadableMillis(500));
         assertThat(readableForMillis.get(readableForMillis.size() - 1), is(500L));
     }
 
-    /** Guards against losing what a peer saw of an outage on the way over a second front. */
+    /** Guards against losing a peer's view of an outage when a second front relays the items. */
     @Test
-    void frontPassesOnForHowLongTheServiceWasReadable() {
-        hearFleet(42);
+    void frontPropagatesReadableTimeOfService() {
+        receiveFleetReports(42);
         feed.tick();
         peers.answerLast(ItemsAnswer.newBuilder().setRevision(42).setReadableMillis(500));
         nowMillis = 300;
         assertThat(feed.readableForMillis(), is(800L));
     }
 
-    /** Guards against a front that was cut off from the service and asks nobody until its last watch is old. */
+    /** Guards against a front that is cut off from the service and polls no peer until its last watch times out. */
     @Test
     void frontWhoseWatchFailedAsksPeersAtOnce() {
-        hearWatchersBehind();
-        feed.watched(List.of(), 41);
-        feed.sourceFailed("reset");
+        receiveReportsOfLowerRankedFronts();
+        feed.applyWatchEvents(List.of(), 41);
+        feed.serviceReadFailed("reset");
         feed.tick();
-        assertThat(peers.asked.size(), is(1));
+        assertThat(peers.requests.size(), is(1));
     }
 
-    /** Guards against waiting for a watch that hangs while peers say that they know newer items. */
+    /** Guards against waiting for a hanging watch while peers report newer items. */
     @Test
-    void peerThatKnowsMoreIsAskedWhileTheOwnWatchHangs() {
-        hearWatchersBehind();
-        feed.watched(List.of(), 41);
+    void newerPeerIsAskedWhileLocalWatchHangs() {
+        receiveReportsOfLowerRankedFronts();
+        feed.applyWatchEvents(List.of(), 41);
         nowMillis = 50;
-        feed.heard(report("front-70", 44, true));
-        nowMillis = SHORTEST_BOUND_MILLIS / 2;
+        feed.reportReceived(report("front-70", 44, true));
+        nowMillis = MIN_APPLY_LIMIT_MILLIS / 2;
         feed.tick();
-        assertThat(peers.asked, contains("10.0.0.70 0"));
+        assertThat(peers.requests, contains("10.0.0.70 0"));
     }
 
-    /** Guards against asking peers for what the own watch is about to bring: engines change many times a second. */
+    /**
+     * Guards against polling peers for items that the local watch is about to deliver: engines change many times a
+     * second.
+     */
     @Test
-    void watchThatIsAMomentBehindIsWaitedFor() {
-        hearWatchersBehind();
-        feed.watched(List.of(), 41);
+    void briefWatchDelayCausesNoPeerRequest() {
+        receiveReportsOfLowerRankedFronts();
+        feed.applyWatchEvents(List.of(), 41);
         nowMillis = 50;
-        feed.heard(report("front-70", 44, true));
+        feed.reportReceived(report("front-70", 44, true));
         nowMillis = 300;
         feed.tick();
-        feed.watched(List.of(), 44);
-        nowMillis = SHORTEST_BOUND_MILLIS;
+        feed.applyWatchEvents(List.of(), 44);
+        nowMillis = MIN_APPLY_LIMIT_MILLIS;
         feed.tick();
-        assertThat(peers.asked, is(empty()));
+        assertThat(peers.requests, is(empty()));
     }
 
-    /** Guards against keeping to a peer that answers and is cut off from the service itself. */
+    /** Guards against preferring a peer that answers but is itself cut off from the service. */
     @Test
-    void peerThatKnowsNothingNewerForLongIsNotPreferred() {
-        hearFleet(41);
-        feed.watched(List.of(), 41);
+    void stalePeerIsNotPreferred() {
+        receiveFleetReports(41);
+        feed.applyWatchEvents(List.of(), 41);
         for (int i = 0; i < 3; i++) {
             feed.tick();
             peers.answerLast(41, STALE_MILLIS);
         }
-        assertThat(new HashSet<>(peers.asked).size(), is(3));
+        assertThat(new HashSet<>(peers.requests).size(), is(3));
     }
 
-    /** Guards against asking a peer that only asks others itself, by a report of the time in which it watched. */
+    /** Guards against polling a peer that stopped watching and only polls others, because of an outdated report. */
     @Test
-    void peerThatWatchesIsPreferredByItsOwnWord() {
-        hearFleet(41);
-        feed.watched(List.of(), 41);
+    void peerThatAnswersAsWatchingIsPreferred() {
+        receiveFleetReports(41);
+        feed.applyWatchEvents(List.of(), 41);
         for (int i = 0; i < 3; i++) {
             feed.tick();
             peers.answerLast(ItemsAnswer.newBuilder().setRevision(41).setWatching(i == 2));
         }
-        String watcher = peers.asked.get(2);
+        String watcher = peers.requests.get(2);
         feed.tick();
-        assertThat(new HashSet<>(peers.asked).size(), is(3));
-        assertThat(peers.asked.get(3), is(watcher));
+        assertThat(new HashSet<>(peers.requests).size(), is(3));
+        assertThat(peers.requests.get(3), is(watcher));
     }
 
-    /** Guards against taking any answer for news: a peer that is cut off says what it knew long ago. */
+    /** Guards against treating every answer as current: a peer that is cut off returns old items. */
     @Test
-    void itemsAreAsOldAsWhatThePeerKnows() {
-        hearFleet(41);
+    void itemAgeIncludesAgeAtPeer() {
+        receiveFleetReports(41);
         feed.tick();
         nowMillis = 10_000;
         peers.answerLast(41, STALE_MILLIS);
@@ -251,53 +256,53 @@
         assertThat(feed.ageMillis(), is(600L));
     }
 
-    /** Guards against a fleet in which nobody watches, since those whose turn it is are cut off. */
+    /** Guards against a fleet without a working watch, when all designated watchers are cut off. */
     @Test
-    void frontWatchesItselfWhenNobodyElseIsInTouch() {
-        hearFleet(41);
+    void frontTakesOverWhenItemsAreStale() {
+        receiveFleetReports(41);
         feed.tick();
         peers.answerLast(41, 0);
         assertThat(feed.shouldWatch(), is(false));
         nowMillis = 20_000;
-        hearFleetAgain();
+        receiveFleetHeartbeats();
         feed.tick();
         assertThat(feed.shouldWatch(), is(true));
-        feed.watched(List.of(), 42);
+        feed.applyWatchEvents(List.of(), 42);
         nowMillis = 22_000;
-        hearFleetAgain();
+        receiveFleetHeartbeats();
         assertThat(feed.shouldWatch(), is(true));
     }
 
-    /** Guards against a whole fleet that calls the service in the moment in which its watchers are silent. */
+    /** Guards against the whole fleet calling the service at the moment its watchers fall silent. */
     @Test
-    void frontsBeginToWatchOneAfterTheOther() {
-        hearFleet(41);
+    void takeOversAreStaggered() {
+        receiveFleetReports(41);
         feed.tick();
         peers.answerLast(41, 0);
         nowMillis = STALE_MILLIS;
-        hearFleetAgain();
+        receiveFleetHeartbeats();
         feed.tick();
         assertThat(feed.shouldWatch(), is(false));
     }
 
-    /** Hears signs of life of the same fleet, which say nothing of its revisions. */
-    private void hearFleetAgain() {
-        for (int i = 1; i <= FLEET; i++) {
+    /** Receives heartbeats of the same fleet, which carry no revisions. */
+    private void receiveFleetHeartbeats() {
+        for (int i = 1; i <= FLEET_SIZE; i++) {
             String name = String.format("front-%02d", i);
-            members.hear(new Beat(name.hashCode(), 1, nowMillis, MemberPhase.MEMBER_SERVING), nowMillis);
+            members.receive(new MemberHeartbeat(name.hashCode(), 1, nowMillis, MemberPhase.MEMBER_SERVING), nowMillis);
         }
     }
 
-    /** Hears of a fleet in which this front is one of those that watch. */
-    private void hearWatchersBehind() {
-        for (int i = 60; i < 60 + FLEET; i++) {
-            members.hear(report("front-" + i, 41, false), nowMillis);
+    /** Receives reports of fronts that rank below this one by name, so that this one is a watcher. */
+    private void receiveReportsOfLowerRankedFronts() {
+        for (int i = 60; i < 60 + FLEET_SIZE; i++) {
+            members.receive(report("front-" + i, 41, false), nowMillis);
         }
     }
 
-    private void hearFleet(long revision) {
-        for (int i = 1; i <= FLEET; i++) {
-            members.hear(report(String.format("front-%02d", i), revision, i <= 3), nowMillis);
+    private void receiveFleetReports(long revision) {
+        for (int i = 1; i <= FLEET_SIZE; i++) {
+            members.receive(report(String.format("front-%02d", i), revision, i <= 3), nowMillis);
         }
     }
 
@@ -324,26 +329,26 @@
                 .build();
     }
 
-    private static final class Peers implements PeerSource {
-        private final List<String> asked = new ArrayList<>();
-        private Consumer<Optional<ItemsAnswer>> last;
+    private static final class FakePeers implements PeerItemSource {
+        private final List<String> requests = new ArrayList<>();
+        private Consumer<Optional<ItemsAnswer>> lastCallback;
 
         @Override
-        public void ask(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
-            asked.add(ip + " " + waitMillis);
-            last = taker;
+        public void requestChanges(String ip, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> callback) {
+            requests.add(ip + " " + waitMillis);
+            lastCallback = callback;
         }
 
         @Override
-        public void changed() {}
+        public void itemsChanged() {}
 
-        /** Answers that an item was removed. */
+        /** Answers with the removal of an item. */
         void answerLast(long revision, String removedKey) {
             answerLast(removal(revision, removedKey));
         }
 
         void answerLast(ItemsAnswer.Builder answer) {
-            last.accept(Optional.of(answer.build()));
+            lastCallback.accept(Optional.of(answer.build()));
         }
 
         void answerLast(long revision) {
@@ -351,7 +356,7 @@
         }
 
         void answerLast(long revision, int ageMillis) {
-            last.accept(Optional.of(ItemsAnswer.newBuilder()
+            lastCallback.accept(Optional.of(ItemsAnswer.newBuilder()
                     .setRevision(revision)
                     .setAgeMillis(ageMillis)
                     .build()));
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemSpreadTest.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/ItemSpreadTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.whinwharf.traffic.items.ItemMirror;
 import org.whinwharf.traffic.items.PublishedValue;
-import org.whinwharf.traffic.member.Beat;
 import org.whinwharf.traffic.member.Member;
+import org.whinwharf.traffic.member.MemberHeartbeat;
 import org.whinwharf.traffic.member.MemberTable;
 import org.whinwharf.wire.fleet.ItemsAnswer;
 import org.whinwharf.wire.fleet.MemberPhase;
@@ -28,38 +28,39 @@
 import org.whinwharf.wire.fleet.PublishedItem;
 
 /**
- * How long changes take to reach the last front of a fleet of ninety in five data centres, on a driven clock.
+ * Measures on a simulated clock how long changes take to reach the last front of a fleet of ninety fronts in five data
+ * centres.
  *
- * <p>A third of the fronts loses the publishing service shortly before, watchers among them, and every front works on
- * what reaches it with the delay of a small host.
+ * <p>Shortly before the changes about a third of the fronts, watchers included, is cut off from the publishing service,
+ * and every front processes messages with the delay of a small host.
  */
 class ItemSpreadTest {
     private static final int FRONTS = 90;
     private static final int DATA_CENTRES = 5;
-    /** Time within which a change must be in force. */
-    private static final long APPLY_MILLIS = 3_000;
-    /** The same for the largest fleet that is designed for. */
-    private static final long LARGEST_FLEET_APPLY_MILLIS = 6_000;
+    /** Limit for applying a change. */
+    private static final long APPLY_LIMIT_MILLIS = 3_000;
+    /** Limit for applying a change in the largest fleet that the design supports. */
+    private static final long LARGEST_FLEET_APPLY_LIMIT_MILLIS = 6_000;
 
-    private static final long CUT_AT_MILLIS = 10_000;
-    /** Time from the cut until the first change is on its way. */
-    private static final long FIRST_SENT_AFTER_MILLIS = 80;
+    private static final long OUTAGE_AT_MILLIS = 10_000;
+    /** Time from the start of the outage until the first change is sent. */
+    private static final long FIRST_CHANGE_DELAY_MILLIS = 80;
 
     private static final int VERSIONS = 3;
     private static final int SEEDS = 6;
-    private static final double CUT_SHARE = 0.3;
-    private static final double LOSS = 0.025;
+    private static final double CUT_OFF_RATIO = 0.3;
+    private static final double DATAGRAM_LOSS_RATIO = 0.025;
     private static final int DOCUMENT_BYTES = 30_000;
     private static final double LINK_BYTES_PER_MILLI = 875;
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final List<ModelFront> fronts = new ArrayList<>();
-    private final Map<String, ModelFront> byIp = new HashMap<>();
+    private final List<SimulatedFront> fronts = new ArrayList<>();
+    private final Map<String, SimulatedFront> byIp = new HashMap<>();
     private final List<PublishedValue> published = new ArrayList<>();
     private Random random;
     private long nowMillis;
     private long nextEvent;
-    private int watchesOutOfTurn;
+    private int unassignedWatches;
 
     private record Event(long atMillis, long number, Runnable action) implements Comparable<Event> {
         @Override
@@ -69,46 +70,46 @@
         }
     }
 
-    /** Who is cut off from the service, and how it answers them. */
-    enum Cut {
+    /** Selects the fronts that are cut off from the service, and how their requests to it fail. */
+    enum Outage {
         RESET,
         SILENT,
-        NOBODY,
-        /** Nobody but those whose turn it is to watch, and without a word. */
+        NONE,
+        /** Only the designated watchers are cut off; their requests time out. */
         ALL_WATCHERS
     }
 
-    /** Guards against fronts that go on by an old configuration, since they or those they ask are cut off. */
+    /** Guards against fronts that keep an old configuration because they or the peers they poll are cut off. */
     @ParameterizedTest
     @CsvSource({"RESET, 100, 65", "SILENT, 0, 65", "SILENT, 250, 65", "RESET, 100, 1360", "SILENT, 250, 1360"})
-    void changesReachEveryFrontInTime(Cut cut, int lateMillis, long confirmedAfterMillis) {
+    void changesReachEveryFrontWithinLimit(Outage outage, int maxDelayMillis, long confirmedAfterMillis) {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            long[] worst = play(cut, lateMillis, confirmedAfterMillis, seed);
+            long[] worstMillis = simulate(outage, maxDelayMillis, confirmedAfterMillis, seed);
             assertThat(
-                    "seed " + seed + ", by version " + Arrays.toString(worst),
-                    max(worst),
-                    lessThanOrEqualTo(APPLY_MILLIS));
+                    "seed " + seed + ", by version " + Arrays.toString(worstMillis),
+                    max(worstMillis),
+                    lessThanOrEqualTo(APPLY_LIMIT_MILLIS));
         }
     }
 
-    /** Guards against a fleet that hears nothing more, since all that watch are cut off and the others are not. */
+    /** Guards against a fleet that receives no changes when all watchers, and only they, are cut off. */
     @Test
-    void changesArriveThoughAllWatchersAreCutOff() {
+    void changesArriveWhenAllWatchersAreCutOff() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            long[] worst = play(Cut.ALL_WATCHERS, 100, 65, seed);
-            assertThat("seed " + seed, max(worst), lessThanOrEqualTo(LARGEST_FLEET_APPLY_MILLIS));
+            long[] worstMillis = simulate(Outage.ALL_WATCHERS, 100, 65, seed);
+            assertThat("seed " + seed, max(worstMillis), lessThanOrEqualTo(LARGEST_FLEET_APPLY_LIMIT_MILLIS));
         }
     }
 
     /**
-     * Guards against more watches than agreed, which the service counts, in a fleet that hears of no change for long.
+     * Guards against more watches than agreed, which the service counts, in a fleet without changes for a long time.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 100, 250})
-    void nobodyElseWatchesWhileThoseWhoseTurnItIsAreInTouch(int lateMillis) {
+    void onlyAssignedWatchersWatchWhileConnected(int maxDelayMillis) {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            play(Cut.NOBODY, lateMillis, 65, seed);
-            assertThat("seed " + seed, watchesOutOfTurn, is(0));
+            simulate(Outage.NONE, maxDelayMillis, 65, seed);
+            assertThat("seed " + seed, unassignedWatches, is(0));
         }
     }
 
@@ -116,46 +117,46 @@
         return Arrays.stream(values).max().orElseThrow();
     }
 
-    /** Returns for each version how long after its confirmation the last front had it. */
-    private long[] play(Cut cut, int lateMillis, long confirmedAfterMillis, int seed) {
+    /** Returns for each version the time in milliseconds from its confirmation until the last front received it. */
+    private long[] simulate(Outage outage, int maxDelayMillis, long confirmedAfterMillis, int seed) {
         random = new Random(seed);
         nowMillis = 0;
-        watchesOutOfTurn = 0;
+        unassignedWatches = 0;
         events.clear();
         fronts.clear();
         byIp.clear();
         published.clear();
         published.add(document(1));
         for (int i = 0; i < FRONTS; i++) {
-            ModelFront front = new ModelFront(i, cut, lateMillis);
+            SimulatedFront front = new SimulatedFront(i, outage, maxDelayMillis);
             fronts.add(front);
             byIp.put(front.ip, front);
         }
-        fronts.forEach(ModelFront::start);
+        fronts.forEach(SimulatedFront::start);
         long[] confirmedAtMillis = new long[VERSIONS];
         for (int i = 0; i < VERSIONS; i++) {
             int version = i;
-            confirmedAtMillis[i] = CUT_AT_MILLIS + FIRST_SENT_AFTER_MILLIS + (i + 1) * confirmedAfterMillis;
-            at(confirmedAtMillis[i], () -> publish(document(2 + version)));
+            confirmedAtMillis[i] = OUTAGE_AT_MILLIS + FIRST_CHANGE_DELAY_MILLIS + (i + 1) * confirmedAfterMillis;
+            schedule(confirmedAtMillis[i], () -> publish(document(2 + version)));
         }
-        long[] worst = new long[VERSIONS];
-        long endMillis = confirmedAtMillis[VERSIONS - 1] + 4 * APPLY_MILLIS;
+        long[] worstMillis = new long[VERSIONS];
+        long endMillis = confirmedAtMillis[VERSIONS - 1] + 4 * APPLY_LIMIT_MILLIS;
         while (!events.isEmpty() && events.peek().atMillis() <= endMillis) {
             Event event = events.poll();
             nowMillis = event.atMillis();
             event.action().run();
         }
-        for (ModelFront front : fronts) {
+        for (SimulatedFront front : fronts) {
             for (int i = 0; i < VERSIONS; i++) {
-                worst[i] = Math.max(worst[i], front.hadAtMillis[i] - confirmedAtMillis[i]);
+                worstMillis[i] = Math.max(worstMillis[i], front.receivedAtMillis[i] - confirmedAtMillis[i]);
             }
         }
-        return worst;
+        return worstMillis;
     }
 
     private void publish(PublishedValue value) {
         published.add(value);
-        fronts.forEach(ModelFront::servicePublished);
+        fronts.forEach(SimulatedFront::servicePublished);
     }
 
     private static PublishedValue document(long revision) {
@@ -166,58 +167,58 @@
         return published.get(published.size() - 1).revision();
     }
 
-    private void at(long atMillis, Runnable action) {
+    private void schedule(long atMillis, Runnable action) {
         events.add(new Event(Math.max(atMillis, nowMillis), nextEvent++, action));
     }
 
-    /** One front: its part of the news, its watch and its questions, as the processes have them. */
-    private final class ModelFront implements PeerSource {
-        private static final long ROUND_MILLIS = 300;
-        private static final long SWEEP_MILLIS = 250;
-        private static final long WATCH_MILLIS = 2_000;
+    /** Simulates a front: its gossip, its watch and its requests to peers, with the timing of a real process. */
+    private final class SimulatedFront implements PeerItemSource {
+        private static final long GOSSIP_INTERVAL_MILLIS = 300;
+        private static final long TICK_INTERVAL_MILLIS = 250;
+        private static final long WATCH_LONG_POLL_MILLIS = 2_000;
         private static final long WATCH_MARGIN_MILLIS = 700;
-        private static final long COLLECT_MILLIS = 200;
-        private static final long PAUSE_MILLIS = 400;
+        private static final long COALESCE_MILLIS = 200;
+        private static final long RETRY_DELAY_MILLIS = 400;
         private static final long ANSWER_MARGIN_MILLIS = 500;
-        private static final long WAY_MILLIS = 2;
+        private static final long NETWORK_DELAY_MILLIS = 2;
 
         private final String name;
         private final String ip;
         private final String dataCentre;
-        private final boolean watchesByTurn;
+        private final boolean assignedWatcher;
         private final boolean cutOff;
-        private final Cut cut;
-        private final int lateMillis;
+        private final Outage outage;
+        private final int maxDelayMillis;
         private final MemberTable members;
         private final ItemMirror mirror = new ItemMirror();
         private final ItemFeed feed;
-        private final long[] hadAtMillis = new long[VERSIONS];
-        private final List<Runnable> waiting = new ArrayList<>();
+        private final long[] receivedAtMillis = new long[VERSIONS];
+        private final List<Runnable> pendingAnswers = new ArrayList<>();
         private Runnable watchAnswer = () -> {};
         private double linkFreeAtMillis;
 
-        ModelFront(int number, Cut cut, int lateMillis) {
-            this.cut = cut;
-            this.lateMillis = lateMillis;
+        SimulatedFront(int number, Outage outage, int maxDelayMillis) {
+            this.outage = outage;
+            this.maxDelayMillis = maxDelayMillis;
             dataCentre = "dc" + number % DATA_CENTRES;
             name = "front-" + dataCentre + "-" + number / DATA_CENTRES;
             ip = "10.0.0." + number;
             int inDataCentre = number / DATA_CENTRES;
             // The first three by name are 0, 1 and 10.
             boolean watcher = inDataCentre < 2 || inDataCentre == 10;
-            watchesByTurn = watcher;
-            cutOff = switch (cut) {
-                case NOBODY -> false;
+            assignedWatcher = watcher;
+            cutOff = switch (outage) {
+                case NONE -> false;
                 case ALL_WATCHERS -> watcher;
-                case RESET, SILENT -> random.nextDouble() < CUT_SHARE;
+                case RESET, SILENT -> random.nextDouble() < CUT_OFF_RATIO;
             };
             members = new MemberTable(report());
-            Arrays.fill(hadAtMillis, Long.MAX_VALUE / 2);
+            Arrays.fill(receivedAtMillis, Long.MAX_VALUE / 2);
             feed = new ItemFeed(
                     FeedFixture.settings(name, ip, dataCentre), members, mirror, this, () -> nowMillis, random);
-            feed.listener((value, duringService, readable) -> {
+            feed.listener((value, afterInitialSnapshot, readable) -> {
                 for (int version = 0; version < VERSIONS && version + 2 <= value.revision(); version++) {
-                    hadAtMillis[version] = Math.min(hadAtMillis[version], nowMillis);
+                    receivedAtMillis[version] = Math.min(receivedAtMillis[version], nowMillis);
                 }
             });
         }
@@ -230,149 +231,158 @@
                     .setIncarnation(1)
                     .setPhase(MemberPhase.MEMBER_SERVING)
                     .setRevision(mirror.revision())
-                    .setWatching(feed != null && feed.watchWorks())
+                    .setWatching(feed != null && feed.watchHealthy())
                     .build();
         }
 
         void start() {
-            for (ModelFront other : fronts) {
-                members.hear(other.report(), 0);
+            for (SimulatedFront other : fronts) {
+                members.receive(other.report(), 0);
             }
-            at(random.nextInt((int) ROUND_MILLIS), this::round);
-            at(random.nextInt((int) SWEEP_MILLIS), this::sweep);
-            at(random.nextInt((int) WATCH_MILLIS), this::copy);
+            schedule(random.nextInt((int) GOSSIP_INTERVAL_MILLIS), this::gossip);
+            schedule(random.nextInt((int) TICK_INTERVAL_MILLIS), this::tick);
+            schedule(random.nextInt((int) WATCH_LONG_POLL_MILLIS), this::copy);
         }
 
-        private long later() {
-            return nowMillis + WAY_MILLIS + (lateMillis == 0 ? 0 : random.nextInt(lateMillis));
+        private long arrivalMillis() {
+            return nowMillis + NETWORK_DELAY_MILLIS + (maxDelayMillis == 0 ? 0 : random.nextInt(maxDelayMillis));
         }
 
-        private void round() {
-            members.report(report().toBuilder());
-            MemberReport own = members.own();
-            List<Beat> beats = members.beats(90, nowMillis);
+        private void gossip() {
+            members.updateLocalReport(report().toBuilder());
+            MemberReport localReport = members.localReport();
+            List<MemberHeartbeat> heartbeats = members.heartbeats(90, nowMillis);
             List<Member> alive = members.alive(nowMillis);
             for (int i = 0; i < 2 && !alive.isEmpty(); i++) {
-                ModelFront hearer = byIp.get(
+                SimulatedFront receiver = byIp.get(
                         alive.get(random.nextInt(alive.size())).report().getIp());
-                if (random.nextDouble() >= LOSS) {
-                    at(later(), () -> hearer.hear(own, beats));
+                if (random.nextDouble() >= DATAGRAM_LOSS_RATIO) {
+                    schedule(arrivalMillis(), () -> receiver.receiveGossip(localReport, heartbeats));
                 }
             }
-            at(nowMillis + ROUND_MILLIS, this::round);
+            schedule(nowMillis + GOSSIP_INTERVAL_MILLIS, this::gossip);
         }
 
-        private void hear(MemberReport report, List<Beat> beats) {
-            if (members.hear(report, nowMillis)) {
-                feed.heard(report);
+        private void receiveGossip(MemberReport report, List<MemberHeartbeat> heartbeats) {
+            if (members.receive(report, nowMillis)) {
+                feed.reportReceived(report);
             }
-            beats.forEach(beat -> members.hear(beat, nowMillis));
+            heartbeats.forEach(heartbeat -> members.receive(heartbeat, nowMillis));
         }
 
-        private void sweep() {
+        private void tick() {
             feed.tick();
-            at(nowMillis + SWEEP_MILLIS, this::sweep);
+            schedule(nowMillis + TICK_INTERVAL_MILLIS, this::tick);
         }
 
-        private boolean unreachable() {
-            return cutOff && nowMillis >= CUT_AT_MILLIS;
+        private boolean serviceUnreachable() {
+            return cutOff && nowMillis >= OUTAGE_AT_MILLIS;
         }
 
         private void copy() {
-            feed.copied(published, newestRevision());
+            feed.applySnapshot(published, newestRevision());
             watch();
         }
 
         private void watch() {
             if (!feed.shouldWatch()) {
-                at(nowMillis + PAUSE_MILLIS, this::watch);
+                schedule(nowMillis + RETRY_DELAY_MILLIS, this::watch);
                 return;
             }
-            if (!watchesByTurn) {
-                watchesOutOfTurn++;
+            if (!assignedWatcher) {
+                unassignedWatches++;
             }
-            if (unreachable()) {
-                at(nowMillis + (cut == Cut.RESET ? WAY_MILLIS : WATCH_MILLIS + WATCH_MARGIN_MILLIS), this::watchFailed);
+            if (serviceUnreachable()) {
+                schedule(
+                        nowMillis
+                                + (outage == Outage.RESET
+                                        ? NETWORK_DELAY_MILLIS
+                                        : WATCH_LONG_POLL_MILLIS + WATCH_MARGIN_MILLIS),
+                        this::watchFailed);
                 return;
             }
             Runnable[] answer = new Runnable[1];
             answer[0] = () -> {
                 if (watchAnswer == answer[0]) {
                     watchAnswer = () -> {};
-                    at(sent(newestRevision() > mirror.revision()), this::watchAnswered);
+                    schedule(answerArrivalMillis(newestRevision() > mirror.revision()), this::watchAnswered);
                 }
             };
             watchAnswer = answer[0];
             if (newestRevision() > mirror.revision()) {
                 answer[0].run();
             } else {
-                long beganAtMillis = nowMillis;
-                at(nowMillis + WATCH_MILLIS, () -> {
-                    if (watchAnswer == answer[0] && !unreachable()) {
+                long startMillis = nowMillis;
+                schedule(nowMillis + WATCH_LONG_POLL_MILLIS, () -> {
+                    if (watchAnswer == answer[0] && !serviceUnreachable()) {
                         answer[0].run();
                     } else if (watchAnswer == answer[0]) {
-                        long failsAtMillis =
-                                cut == Cut.RESET ? nowMillis : beganAtMillis + WATCH_MILLIS + WATCH_MARGIN_MILLIS;
+                        long failureAtMillis = outage == Outage.RESET
+                                ? nowMillis
+                                : startMillis + WATCH_LONG_POLL_MILLIS + WATCH_MARGIN_MILLIS;
                         watchAnswer = () -> {};
-                        at(failsAtMillis, this::watchFailed);
+                        schedule(failureAtMillis, this::watchFailed);
                     }
                 });
             }
         }
 
         void servicePublished() {
-            if (!unreachable()) {
+            if (!serviceUnreachable()) {
                 watchAnswer.run();
             }
         }
 
         private void watchAnswered() {
-            feed.watched(published, newestRevision());
-            at(nowMillis + COLLECT_MILLIS, this::watch);
+            feed.applyWatchEvents(published, newestRevision());
+            schedule(nowMillis + COALESCE_MILLIS, this::watch);
         }
 
         private void watchFailed() {
-            feed.sourceFailed("cut");
-            at(nowMillis + PAUSE_MILLIS, this::watch);
+            feed.serviceReadFailed("cut");
+            schedule(nowMillis + RETRY_DELAY_MILLIS, this::watch);
         }
 
-        /** Returns when an answer that is sent now has arrived over this front's link. */
-        private long sent(boolean document) {
+        /** Returns the time at which an answer sent now arrives over this front's link. */
+        private long answerArrivalMillis(boolean document) {
             linkFreeAtMillis = Math.max(linkFreeAtMillis, nowMillis);
             linkFreeAtMillis += (document ? DOCUMENT_BYTES : 200) / LINK_BYTES_PER_MILLI;
-            return (long) linkFreeAtMillis + (later() - nowMillis);
+            return (long) linkFreeAtMillis + (arrivalMillis() - nowMillis);
         }
 
         @Override
-        public void ask(String peerIp, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
-            boolean[] ended = new boolean[1];
-            Consumer<Optional<ItemsAnswer>> once = answer -> {
-                if (!ended[0]) {
-                    ended[0] = true;
-                    taker.accept(answer);
+        public void requestChanges(String peerIp, int port, long waitMillis, Consumer<Optional<ItemsAnswer>> callback) {
+            boolean[] completed = new boolean[1];
+            Consumer<Optional<ItemsAnswer>> completeOnce = answer -> {
+                if (!completed[0]) {
+                    completed[0] = true;
+                    callback.accept(answer);
                 }
             };
-            ModelFront peer = byIp.get(peerIp);
+            SimulatedFront peer = byIp.get(peerIp);
             long afterRevision = mirror.revision();
-            at(later(), () -> peer.asked(this, afterRevision, waitMillis, once));
-            at(nowMillis + waitMillis + ANSWER_MARGIN_MILLIS, () -> once.accept(Optional.empty()));
+            schedule(arrivalMillis(), () -> peer.receiveRequest(this, afterRevision, waitMillis, completeOnce));
+            schedule(nowMillis + waitMillis + ANSWER_MARGIN_MILLIS, () -> completeOnce.accept(Optional.empty()));
         }
 
-        private void asked(
-                ModelFront asker, long afterRevision, long waitMillis, Consumer<Optional<ItemsAnswer>> taker) {
+        private void receiveRequest(
+                SimulatedFront requester,
+                long afterRevision,
+                long waitMillis,
+                Consumer<Optional<ItemsAnswer>> callback) {
             boolean[] answered = new boolean[1];
             Runnable answer = () -> {
                 if (!answered[0]) {
                     answered[0] = true;
                     ItemsAnswer sent = answerAfter(afterRevision);
-                    at(sent(sent.getItemsCount() > 0), () -> taker.accept(Optional.of(sent)));
+                    schedule(answerArrivalMillis(sent.getItemsCount() > 0), () -> callback.accept(Optional.of(sent)));
                 }
             };
             if (mirror.revision() > afterRevision || waitMillis == 0) {
                 answer.run();
             } else {
-                waiting.add(answer);
-                at(nowMillis + waitMillis, answer);
+                pendingAnswers.add(answer);
+                schedule(nowMillis + waitMillis, answer);
             }
         }
 
@@ -382,7 +392,7 @@
                     .setRevision(mirror.revision())
                     .setComplete(changes.isEmpty())
                     .setAgeMillis((int) feed.ageMillis())
-                    .setWatching(feed.watchWorks());
+                    .setWatching(feed.watchHealthy());
             for (PublishedValue value : changes.isPresent() ? changes.get() : mirror.all()) {
                 answer.addItems(PublishedItem.newBuilder().setKey(value.key()).setRevision(value.revision()));
             }
@@ -390,10 +400,10 @@
         }
 
         @Override
-        public void changed() {
-            List<Runnable> all = List.copyOf(waiting);
-            waiting.clear();
-            all.forEach(Runnable::run);
+        public void itemsChanged() {
+            List<Runnable> ready = List.copyOf(pendingAnswers);
+            pendingAnswers.clear();
+            ready.forEach(Runnable::run);
         }
     }
 }
--- a/org.whinwharf.front.test/src/test/java/org/whinwharf/front/TestDialect.java
+++ b/org.whinwharf.front.test/src/test/java/org/whinwharf/front/TestDialect.java
@@ -12,34 +12,34 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** A small dialect of the tests' own. */
+/** Minimal dialect for the tests of this module, with its own header names. */
 final class TestDialect implements HttpDialect {
     @Override
     public RequestHead readRequest(HttpRequest request) throws BadRequestException {
         String attempt = request.headers().get("Attempt");
         if (attempt == null) {
-            throw new BadRequestException("no attempt");
+            throw new BadRequestException("missing Attempt header");
         }
         return ImmutableRequestHead.builder()
                 .attemptId(attempt)
                 .authority(request.headers().get("Host"))
                 .path(request.uri())
-                .deadlineMillis(OptionalLong.empty())
-                .key(Optional.empty())
+                .timeoutMillis(OptionalLong.empty())
+                .apiKey(Optional.empty())
                 .model("")
                 .promptTokens(0)
-                .answerTokens(0)
-                .countsTokens(false)
-                .resumeAfterEvent(Optional.empty())
+                .maxAnswerTokens(0)
+                .hasTokenCounts(false)
+                .lastEventId(Optional.empty())
                 .build();
     }
 
     @Override
-    public HttpRequest targetRequest(HttpRequest request, Dispatch dispatch) {
+    public HttpRequest targetRequest(HttpRequest request, DispatchParameters dispatch) {
         HttpHeaders headers =
                 new DefaultHttpHeaders().set("Attempt", request.headers().get("Attempt"));
         headers.set("Expect-Target", dispatch.targetId());
-        dispatch.resumeAfterEvent().ifPresent(id -> headers.set("Resume-After", id));
+        dispatch.lastEventId().ifPresent(id -> headers.set("Resume-After", id));
         if (request.method().equals(HttpMethod.POST)) {
             headers.set("Content-Length", 0);
         }
@@ -47,12 +47,12 @@
     }
 
     @Override
-    public AnswerHead readAnswer(HttpResponse response) {
-        return ImmutableAnswerHead.builder()
+    public ResponseHead readResponse(HttpResponse response) {
+        return ImmutableResponseHead.builder()
                 .status(response.status().code())
                 .attemptId(response.headers().get("Attempt", ""))
                 .notExecuted(response.headers().contains("Not-Run"))
-                .otherTarget(response.status().code() == 421)
+                .wrongTarget(response.status().code() == 421)
                 .signed(response.headers().contains("Signed"))
                 .keepAliveMillis(OptionalLong.of(10_000))
                 .build();
--- /dev/null
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/AdmissionControl.java
@@ -0,0 +1,134 @@
+package org.whinwharf.front;
+
+import java.util.Optional;
+import java.util.OptionalInt;
+import org.whinwharf.errors.ErrorKind;
+import org.whinwharf.traffic.catalog.Catalog;
+import org.whinwharf.traffic.catalog.Organisation;
+import org.whinwharf.traffic.catalog.Route;
+import org.whinwharf.traffic.catalog.TierRank;
+import org.whinwharf.traffic.waiting.QueueTimeouts;
+
+/** Admits or rejects a request on arrival, by routes, API keys and quotas. */
+final class AdmissionControl {
+    /** Outcome of the admission check. */
+    sealed interface Decision permits Admitted, Rejected {}
+
+    /**
+     * An admitted request.
+     *
+     * @param route route of the request, from the catalog in force on arrival
+     * @param organisation organisation of the caller; empty on public routes
+     * @param service service that handles the request
+     * @param tierRank tier rank; 0 is served first
+     * @param quotaTokens tokens that the request consumes of the organisation's quota
+     * @param quotaConsumed true when the tokens were consumed here; otherwise the coordinator consumes them
+     * @param deadlineAtMillis time of the monotonic clock by which the caller gets its final response
+     * @param queueTimeoutAtMillis time of the monotonic clock until which the request may wait for a target
+     */
+    record Admitted(
+            Route route,
+            Optional<Organisation> organisation,
+            String service,
+            int tierRank,
+            long quotaTokens,
+            boolean quotaConsumed,
+            long deadlineAtMillis,
+            long queueTimeoutAtMillis)
+            implements Decision {}
+
+    /**
+     * A rejected request.
+     *
+     * @param error response to the caller
+     * @param organisation organisation of the caller, if known
+     */
+    record Rejected(ErrorResponse error, Optional<Organisation> organisation) implements Decision {}
+
+    private final Front front;
+
+    AdmissionControl(Front front) {
+        this.front = front;
+    }
+
+    /** Admits or rejects a request; consumes its quota unless another front coordinates the service. */
+    Decision decide(RequestHead head, long nowMillis) {
+        Optional<Catalog> catalog = front.catalog();
+        if (catalog.isEmpty()) {
+            return rejected(ErrorKind.NOT_READY, Front.NOT_READY_RETRY_AFTER_MILLIS, Optional.empty());
+        }
+        Optional<Route> matchedRoute = catalog.get().route(head.authority(), head.path());
+        if (matchedRoute.isEmpty()) {
+            return rejected(ErrorKind.UNKNOWN_SERVICE, 0, Optional.empty());
+        }
+        Route route = matchedRoute.get();
+        Optional<Organisation> organisation = head.apiKey().flatMap(catalog.get()::organisationOfKey);
+        if (catalog.get().requiresKeys() && !route.publicAccess() && organisation.isEmpty()) {
+            return rejected(ErrorKind.UNKNOWN_CREDENTIAL, 0, organisation);
+        }
+        long tokens = quotaTokens(head, organisation);
+        String service = route.selectService(head.attemptId());
+        boolean remoteCoordinator =
+                organisation.isPresent() && front.coordination().hasRemoteCoordinator(service);
+        Optional<ErrorResponse> error =
+                remoteCoordinator ? Optional.empty() : consumeQuota(organisation, service, tokens, nowMillis);
+        if (error.isPresent()) {
+            return new Rejected(error.get(), organisation);
+        }
+        return admitted(head, route, organisation, service, tokens, !remoteCoordinator, nowMillis);
+    }
+
+    /**
+     * Consumes a request's tokens of its organisation's quota; returns the error response when the quota is used up.
+     */
+    Optional<ErrorResponse> consumeQuota(
+            Optional<Organisation> organisation, String service, long tokens, long nowMillis) {
+        if (organisation.isEmpty() || tryConsumeQuota(organisation.get().name(), service, tokens, nowMillis)) {
+            return Optional.empty();
+        }
+        long retryAfterMillis =
+                front.quotas().retryAfterMillis(organisation.get().name());
+        return Optional.of(new ErrorResponse(
+                ErrorKind.OVER_QUOTA, Math.max(retryAfterMillis, Front.NOT_READY_RETRY_AFTER_MILLIS)));
+    }
+
+    private boolean tryConsumeQuota(String organisation, String service, long tokens, long nowMillis) {
+        return front.coordination().isLocalCoordinator(service)
+                ? front.quotas().tryAdmit(organisation, tokens, nowMillis)
+                : front.quotas().tryAdmitUncoordinated(organisation, tokens, nowMillis);
+    }
+
+    private Admitted admitted(
+            RequestHead head,
+            Route route,
+            Optional<Organisation> organisation,
+            String service,
+            long tokens,
+            boolean quotaConsumed,
+            long nowMillis) {
+        long timeoutMillis =
+                Math.min(route.timeoutMillis(), head.timeoutMillis().orElse(route.timeoutMillis()));
+        OptionalInt organisationRank = organisation.map(Organisation::tierRank).orElse(OptionalInt.empty());
+        int tierRank = TierRank.combine(organisationRank, route.tierRank());
+        return new Admitted(
+                route,
+                organisation,
+                service,
+                tierRank,
+                tokens,
+                quotaConsumed,
+                nowMillis + timeoutMillis,
+                nowMillis + QueueTimeouts.queueTimeoutMillis(route.latencyObjectiveMillis(), timeoutMillis));
+    }
+
+    private static long quotaTokens(RequestHead head, Optional<Organisation> organisation) {
+        if (head.hasTokenCounts()) {
+            return head.promptTokens() + head.maxAnswerTokens();
+        }
+        return organisation.map(Organisation::defaultRequestTokens).orElse(0L);
+    }
+
+    private static Rejected rejected(ErrorKind kind, long retryAfterMillis, Optional<Organisation> organisation) {
+        return new Rejected(new ErrorResponse(kind, retryAfterMillis), organisation);
+    }
+}
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerServer.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerAcceptor.java
@@ -17,35 +17,35 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 
-/** Accepts the connections of callers. */
-final class CallerServer {
-    /** Answer bytes queued for a slow caller before its target is read no further. */
-    private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(32 * 1_024, 128 * 1_024);
+/** Accepts connections from callers and sets up their pipelines. */
+final class CallerAcceptor {
+    /** Limits on the bytes queued for a slow caller; above the high one, reading from the target is suspended. */
+    private static final WriteBufferWaterMark WRITE_BUFFER_LIMITS = new WriteBufferWaterMark(32 * 1_024, 128 * 1_024);
 
     private final Front front;
     private final EventLoopGroup loop;
     private final CallerPort port;
     private Channel server;
 
-    CallerServer(Front front, EventLoopGroup loop, CallerPort port) {
+    CallerAcceptor(Front front, EventLoopGroup loop, CallerPort port) {
         this.front = front;
         this.loop = loop;
         this.port = port;
     }
 
-    /** Begins to accept connections, those that wait already first; the action runs once it does. */
+    /** Starts accepting connections, first those already in the backlog; runs the action once accepting. */
     void start(Runnable whenAccepting) {
         new ServerBootstrap()
                 .group(loop)
                 .channelFactory(() -> new NioServerSocketChannel(port.channel()))
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_LIMITS)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         CallerConnection connection = new CallerConnection(front);
                         channel.pipeline()
-                                .addLast(new ArrivalNote(connection))
+                                .addLast(new ReceiveMonitor(connection))
                                 .addLast(new StrictDecoder(front.limits().maxHeaderBytes()))
                                 .addLast(new HttpResponseEncoder())
                                 .addLast(connection);
@@ -57,12 +57,12 @@
                         server = registered.channel();
                         whenAccepting.run();
                     } else {
-                        FrontLog.dutyFailed("accept callers", registered.cause());
+                        FrontLog.taskFailed("accept callers", registered.cause());
                     }
                 });
     }
 
-    /** Takes no more connections. */
+    /** Stops accepting connections. */
     void stop() {
         if (server != null) {
             server.close();
@@ -71,24 +71,24 @@
         }
     }
 
-    /** Tells a connection that bytes came, so that an incomplete head is noticed. */
-    private static final class ArrivalNote extends ChannelInboundHandlerAdapter {
+    /** Reports received bytes to the connection, so that it can time out an incomplete head. */
+    private static final class ReceiveMonitor extends ChannelInboundHandlerAdapter {
         private final CallerConnection connection;
 
-        ArrivalNote(CallerConnection connection) {
+        ReceiveMonitor(CallerConnection connection) {
             this.connection = connection;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             if (message instanceof ByteBuf bytes && bytes.isReadable()) {
-                connection.bytesArrived();
+                connection.bytesReceived();
             }
             context.fireChannelRead(message);
         }
     }
 
-    /** Refuses a message with both a length and chunks, in which a second request could hide. */
+    /** Rejects a message with both a content length and chunked encoding, which could smuggle a second request. */
     private static final class StrictDecoder extends HttpRequestDecoder {
         StrictDecoder(int maxHeaderBytes) {
             super(new HttpDecoderConfig()
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerConnection.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerConnection.java
@@ -35,32 +35,32 @@
 import org.whinwharf.errors.ErrorKind;
 
 /**
- * One connection of a caller: requests one after another, each answered before the next is looked at.
+ * One connection of a caller. Handles its requests in order, each only after the response to the one before.
  *
- * <p>What is not a well-formed request is answered and the connection closed, since nobody can tell where the next
- * request would begin; passing a doubtful head on would let one caller hide a request inside another.
+ * <p>A malformed request is rejected and the connection closed, since the start of the next request cannot be
+ * determined. Forwarding an ambiguous head would let a caller smuggle one request inside another.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
-    /** Messages of later requests kept while one is under way; more than any proper caller sends ahead. */
-    private static final int MOST_QUEUED = 64;
+    /** Number of queued messages of pipelined requests above which reading stops; well-behaved callers send fewer. */
+    private static final int MAX_QUEUED_MESSAGES = 64;
 
     private static final String CALLER_CLOSED = "caller-closed";
 
     private final Front front;
-    private final Deque<HttpObject> queued = new ArrayDeque<>();
+    private final Deque<HttpObject> queuedMessages = new ArrayDeque<>();
     private Channel channel;
     private HttpRequest request;
     private CompositeByteBuf body;
-    private Exchange exchange;
+    private CallerExchange exchange;
     private boolean closing;
-    private boolean closeAfterAnswer;
-    private long quietSinceMillis;
-    private boolean midHead;
+    private boolean closeAfterResponse;
+    private long lastActivityMillis;
+    private boolean receivingHead;
     private String closeCause = CALLER_CLOSED;
 
     CallerConnection(Front front) {
         this.front = front;
-        quietSinceMillis = front.nowMillis();
+        lastActivityMillis = front.nowMillis();
     }
 
     @Override
@@ -71,39 +71,39 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        HttpObject part = (HttpObject) message;
+        HttpObject httpObject = (HttpObject) message;
         if (closing) {
-            ReferenceCountUtil.release(part);
+            ReferenceCountUtil.release(httpObject);
         } else if (exchange != null) {
-            queued.add(part);
-            if (queued.size() > MOST_QUEUED) {
+            queuedMessages.add(httpObject);
+            if (queuedMessages.size() > MAX_QUEUED_MESSAGES) {
                 channel.config().setAutoRead(false);
             }
         } else {
-            take(part);
+            process(httpObject);
         }
     }
 
-    /** Notes bytes of a head that is not complete yet. */
-    void bytesArrived() {
-        if (request == null && exchange == null && !midHead) {
-            midHead = true;
-            quietSinceMillis = front.nowMillis();
+    /** Records received bytes, to time out a request that stays incomplete. */
+    void bytesReceived() {
+        if (request == null && exchange == null && !receivingHead) {
+            receivingHead = true;
+            lastActivityMillis = front.nowMillis();
         } else if (request != null) {
-            quietSinceMillis = front.nowMillis();
+            lastActivityMillis = front.nowMillis();
         }
     }
 
-    private void take(HttpObject part) {
-        if (part.decoderResult().isFailure()) {
-            ReferenceCountUtil.release(part);
-            rejectMalformed(part.decoderResult().cause());
+    private void process(HttpObject httpObject) {
+        if (httpObject.decoderResult().isFailure()) {
+            ReferenceCountUtil.release(httpObject);
+            rejectMalformed(httpObject.decoderResult().cause());
             return;
         }
-        if (part instanceof HttpRequest head) {
-            beginRequest(head);
+        if (httpObject instanceof HttpRequest head) {
+            startRequest(head);
         }
-        if (part instanceof HttpContent content) {
+        if (httpObject instanceof HttpContent content) {
             if (closing || request == null) {
                 content.release();
             } else {
@@ -112,11 +112,11 @@
         }
     }
 
-    private void beginRequest(HttpRequest head) {
-        midHead = false;
-        String fault = headFault(head);
-        if (fault != null) {
-            reject(ErrorKind.MALFORMED, fault);
+    private void startRequest(HttpRequest head) {
+        receivingHead = false;
+        String invalidPart = validateHead(head);
+        if (invalidPart != null) {
+            reject(ErrorKind.MALFORMED, invalidPart);
             return;
         }
         if (HttpUtil.getContentLength(head, 0L) > front.limits().maxBodyBytes()) {
@@ -125,18 +125,20 @@
         }
         request = head;
         body = Unpooled.compositeBuffer(1024);
-        quietSinceMillis = front.nowMillis();
+        lastActivityMillis = front.nowMillis();
         if (HttpUtil.is100ContinueExpected(head)) {
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
-    private static String headFault(HttpRequest head) {
+    /** Returns the invalid part of a head; null when the head is valid. */
+    private static String validateHead(HttpRequest head) {
         HttpHeaders headers = head.headers();
-        List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        if (codings.size() > 1
-                || codings.size() == 1 && !"chunked".equals(codings.get(0).toLowerCase(Locale.ROOT))) {
+        List<String> transferEncodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        if (transferEncodings.size() > 1
+                || transferEncodings.size() == 1
+                        && !"chunked".equals(transferEncodings.get(0).toLowerCase(Locale.ROOT))) {
             return "transfer encoding";
         }
         if (headers.getAll(HttpHeaderNames.CONTENT_LENGTH).size() > 1) {
@@ -161,20 +163,20 @@
         body.addComponent(true, content.content());
         if (content instanceof LastHttpContent) {
             HttpRequest head = request;
-            CompositeByteBuf whole = body;
+            CompositeByteBuf requestBody = body;
             request = null;
             body = null;
-            closeAfterAnswer = !HttpUtil.isKeepAlive(head);
-            Exchange next = new Exchange(front, this, head, whole);
+            closeAfterResponse = !HttpUtil.isKeepAlive(head);
+            CallerExchange next = new CallerExchange(front, this, head, requestBody);
             exchange = next;
-            // Not from within the read: what follows looks whether the caller has closed the connection since.
-            channel.eventLoop().execute(() -> begin(next));
+            // Not started within the read, because the start checks whether the caller has closed the connection.
+            channel.eventLoop().execute(() -> start(next));
         }
     }
 
-    private void begin(Exchange next) {
+    private void start(CallerExchange next) {
         if (exchange == next) {
-            next.begin();
+            next.start();
         }
     }
 
@@ -191,61 +193,62 @@
         }
         request = null;
         closing = true;
-        write(response(new Refusal(kind, 0)), true);
+        write(toHttpResponse(new ErrorResponse(kind, 0)), true);
     }
 
-    /** Answers the request under way with a failure of this process. */
-    void answer(Refusal refusal) {
-        write(response(refusal), false);
+    /** Responds to the current request with an error of this process. */
+    void respond(ErrorResponse error) {
+        write(toHttpResponse(error), false);
     }
 
-    /** Answers the request under way with a whole answer of a target. */
-    void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
-        FullHttpResponse full = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
-        full.headers().set(headers);
+    /** Responds to the current request with a complete response of a target. */
+    void respond(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
+        response.headers().set(headers);
         boolean headOnly = exchange != null && exchange.method().equals(HttpMethod.HEAD);
         if (!headOnly && status.code() != 204 && status.code() != 304) {
-            full.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
         }
-        write(full, false);
+        write(response, false);
     }
 
-    /** Begins an answer that goes on piece by piece. */
-    void beginStream(HttpResponseStatus status, HttpHeaders headers) {
+    /** Starts a chunked response. */
+    void startStream(HttpResponseStatus status, HttpHeaders headers) {
         DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, status);
         head.headers().set(headers).remove(HttpHeaderNames.CONTENT_LENGTH);
         HttpUtil.setTransferEncodingChunked(head, true);
-        if (front.leaving() || closeAfterAnswer) {
+        if (front.leaving() || closeAfterResponse) {
             head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             closing = true;
         }
         channel.writeAndFlush(head);
     }
 
-    /** Passes on a piece of the answer. */
-    void stream(ByteBuf piece) {
-        channel.writeAndFlush(new DefaultHttpContent(piece));
+    /** Writes a chunk of the response. */
+    void writeChunk(ByteBuf chunk) {
+        channel.writeAndFlush(new DefaultHttpContent(chunk));
     }
 
-    /** Ends an answer that went on piece by piece. */
+    /** Completes a chunked response. */
     void endStream() {
-        channel.writeAndFlush(new DefaultLastHttpContent()).addListener(done -> finished());
+        channel.writeAndFlush(new DefaultLastHttpContent()).addListener(done -> responseWritten());
     }
 
-    /** Ends the connection in the middle of an answer, so that it cannot look whole. */
-    void breakOff() {
+    /** Closes the connection in the middle of a response, so that the response does not look complete. */
+    void abort() {
         closing = true;
         exchange = null;
         channel.close();
     }
 
     /**
-     * Reads what has arrived and tells whether the caller is still there.
+     * Reads the pending input and returns whether the caller is still connected.
      *
-     * <p>On a thread that is late, a close waits in the socket while what came before it is worked on; a request sent
-     * on meanwhile would run for nobody. Must not be called from within a read of this connection.
+     * <p>On a delayed event loop, a close stays unread in the socket while earlier events are processed. A request
+     * dispatched in the meantime would run although its caller is gone. Must not be called within a read of this
+     * connection.
      */
-    boolean callerStays() {
+    boolean isCallerConnected() {
         if (channel.isActive()
                 && channel.config().isAutoRead()
                 && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
@@ -254,7 +257,7 @@
         return channel.isActive();
     }
 
-    /** Tells whether the caller reads as fast as the answer comes. */
+    /** Returns whether the outbound buffer is below its limit, so that more of the response can be written. */
     boolean writable() {
         return channel.isWritable();
     }
@@ -262,65 +265,66 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (exchange != null) {
-            exchange.callerWritable(channel.isWritable());
+            exchange.callerWritabilityChanged(channel.isWritable());
         }
     }
 
-    private FullHttpResponse response(Refusal refusal) {
-        FullHttpResponse full = new DefaultFullHttpResponse(
+    private FullHttpResponse toHttpResponse(ErrorResponse error) {
+        FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(refusal.kind().httpStatus()),
-                Unpooled.copiedBuffer("{\"error\":\"" + refusal.kind().wireName() + "\"}", CharsetUtil.US_ASCII));
-        full.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-        full.headers().set(HttpHeaderNames.CONTENT_LENGTH, full.content().readableBytes());
-        if (refusal.comeBackMillis() > 0) {
-            full.headers()
+                HttpResponseStatus.valueOf(error.kind().httpStatus()),
+                Unpooled.copiedBuffer("{\"error\":\"" + error.kind().wireName() + "\"}", CharsetUtil.US_ASCII));
+        response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+        response.headers()
+                .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+        if (error.retryAfterMillis() > 0) {
+            response.headers()
                     .set(
                             HttpHeaderNames.RETRY_AFTER,
-                            String.format(Locale.ROOT, "%.3f", refusal.comeBackMillis() / 1e3));
+                            String.format(Locale.ROOT, "%.3f", error.retryAfterMillis() / 1e3));
         }
-        return full;
+        return response;
     }
 
-    private void write(FullHttpResponse full, boolean close) {
-        closing = closing || close || closeAfterAnswer || front.leaving();
+    private void write(FullHttpResponse response, boolean close) {
+        closing = closing || close || closeAfterResponse || front.leaving();
         if (closing) {
-            full.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        channel.writeAndFlush(full).addListener(done -> finished());
+        channel.writeAndFlush(response).addListener(done -> responseWritten());
     }
 
-    private void finished() {
+    private void responseWritten() {
         exchange = null;
-        quietSinceMillis = front.nowMillis();
+        lastActivityMillis = front.nowMillis();
         if (closing) {
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
             return;
         }
         channel.config().setAutoRead(true);
-        while (exchange == null && !closing && !queued.isEmpty()) {
-            take(queued.poll());
+        while (exchange == null && !closing && !queuedMessages.isEmpty()) {
+            process(queuedMessages.poll());
         }
     }
 
-    /** Closes a connection that has been idle, or whose request has been incomplete, for too long. */
-    void sweep(long nowMillis) {
+    /** Rejects a request that has stayed incomplete for too long, and closes a connection that is idle for too long. */
+    void checkTimeouts(long nowMillis) {
         if (exchange != null || closing) {
             return;
         }
-        long quietMillis = nowMillis - quietSinceMillis;
-        boolean incomplete = midHead || request != null;
-        if (incomplete && quietMillis > front.limits().headerTimeoutMillis()) {
+        long idleMillis = nowMillis - lastActivityMillis;
+        boolean incomplete = receivingHead || request != null;
+        if (incomplete && idleMillis > front.limits().headerTimeoutMillis()) {
             reject(ErrorKind.CALLER_TOO_SLOW, "incomplete request");
-        } else if (!incomplete && quietMillis > front.limits().idleTimeoutMillis()) {
+        } else if (!incomplete && idleMillis > front.limits().idleTimeoutMillis()) {
             closing = true;
             channel.close();
         }
     }
 
-    /** Closes the connection if no request is under way on it. */
+    /** Closes the connection if no request is in progress. */
     void closeIfIdle() {
-        if (exchange == null && request == null && !midHead && !closing) {
+        if (exchange == null && request == null && !receivingHead && !closing) {
             closing = true;
             channel.close();
         }
@@ -330,16 +334,16 @@
     public void channelInactive(ChannelHandlerContext context) {
         closing = true;
         front.connectionClosed(this);
-        queued.forEach(ReferenceCountUtil::release);
-        queued.clear();
+        queuedMessages.forEach(ReferenceCountUtil::release);
+        queuedMessages.clear();
         if (body != null) {
             body.release();
             body = null;
         }
         if (exchange != null) {
-            Exchange left = exchange;
+            CallerExchange abandoned = exchange;
             exchange = null;
-            left.callerLeft(closeCause);
+            abandoned.callerDisconnected(closeCause);
         }
     }
 
--- /dev/null
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/CallerExchange.java
@@ -0,0 +1,624 @@
+package org.whinwharf.front;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponse;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.Set;
+import org.whinwharf.errors.ErrorKind;
+import org.whinwharf.traffic.catalog.Organisation;
+import org.whinwharf.traffic.catalog.Route;
+import org.whinwharf.traffic.coordination.RejectionDetails;
+import org.whinwharf.traffic.placement.Candidate;
+import org.whinwharf.traffic.placement.Demand;
+import org.whinwharf.traffic.placement.ImmutableDemand;
+import org.whinwharf.traffic.target.Target;
+import org.whinwharf.traffic.waiting.DispatchResult;
+import org.whinwharf.traffic.waiting.QueueTimeouts;
+import org.whinwharf.traffic.waiting.QueuedRequest;
+import org.whinwharf.wire.fleet.PlacementAsk;
+import org.whinwharf.wire.fleet.RunEvent;
+
+/**
+ * One request of a caller, from its last byte to the last byte of the response.
+ *
+ * <p>Once a byte was sent to a target, the target may have executed the request. Unless the target reports that it did
+ * not, the caller then gets the target's response or an error that leaves the execution open, never a rejection stating
+ * that the request was not executed.
+ */
+final class CallerExchange implements QueuedRequest, PlacementListener, TargetListener {
+    /**
+     * Time after its queue timeout for which a request awaits a rejection by the coordinator before it is rejected
+     * here.
+     */
+    private static final long COORDINATOR_GRACE_MILLIS = 150;
+    /** Minimum time until the deadline for a dispatch: a target needs about this long for its shortest response. */
+    private static final long MIN_REMAINING_MILLIS = 15;
+
+    private enum Stage {
+        /** Queued in this process. */
+        QUEUED,
+        /** A placement request was sent to a coordinator. */
+        AWAITING_PLACEMENT,
+        CONNECTING,
+        SENT,
+        ENDED
+    }
+
+    private final Front front;
+    private final CallerConnection caller;
+    private final HttpRequest request;
+    private final ByteBuf body;
+    private final long arrivedAtMillis;
+    private final CatalogFreshness catalogFreshness;
+
+    private final Set<String> triedTargetIds = new HashSet<>();
+    private RequestHead head;
+    private Route route;
+    private Optional<Organisation> organisation = Optional.empty();
+    private String service = "";
+    private int tierRank;
+    private long quotaTokens;
+    private long deadlineAtMillis;
+    private long queueTimeoutAtMillis;
+    private Stage stage = Stage.QUEUED;
+    private int dispatchCount;
+    private int possibleExecutions;
+    private boolean quotaConsumed;
+    private PlacementTicket ticket;
+    private TargetRun targetRun;
+    private TargetConnection connection;
+    private SilenceWatch silenceWatch;
+    private ResponseAssembler responseAssembler;
+
+    CallerExchange(Front front, CallerConnection caller, HttpRequest request, ByteBuf body) {
+        this.front = front;
+        this.caller = caller;
+        this.request = request;
+        this.body = body;
+        arrivedAtMillis = front.nowMillis();
+        catalogFreshness = front.catalogFreshness();
+    }
+
+    HttpMethod method() {
+        return request.method();
+    }
+
+    RequestHead head() {
+        return head;
+    }
+
+    /** Parses the request, applies admission control, and dispatches or queues the request if admitted. */
+    void start() {
+        front.exchangeStarted(this);
+        try {
+            head = front.dialect().readRequest(request);
+        } catch (BadRequestException e) {
+            FrontLog.malformed(ErrorKind.MALFORMED, e.getMessage());
+            respondWithError(new ErrorResponse(ErrorKind.MALFORMED, 0));
+            return;
+        }
+        AdmissionControl.Decision decision = front.admission().decide(head, arrivedAtMillis);
+        if (decision instanceof AdmissionControl.Rejected rejected) {
+            organisation = rejected.organisation();
+            respondWithError(rejected.error());
+        } else if (decision instanceof AdmissionControl.Admitted admitted) {
+            start(admitted);
+        }
+    }
+
+    private void start(AdmissionControl.Admitted admitted) {
+        route = admitted.route();
+        responseAssembler = new ResponseAssembler(route, caller, front.dialect());
+        organisation = admitted.organisation();
+        service = admitted.service();
+        tierRank = admitted.tierRank();
+        quotaTokens = admitted.quotaTokens();
+        quotaConsumed = admitted.quotaConsumed();
+        deadlineAtMillis = admitted.deadlineAtMillis();
+        queueTimeoutAtMillis = admitted.queueTimeoutAtMillis();
+        front.retryBudget(service).recordRequest(arrivedAtMillis);
+        place(arrivedAtMillis);
+    }
+
+    private void place(long nowMillis) {
+        if (front.coordination().isCoordinated(service)) {
+            stage = Stage.AWAITING_PLACEMENT;
+            front.coordination().requestPlacement(service, this);
+        } else {
+            placeLocally(nowMillis);
+        }
+    }
+
+    private void placeLocally(long nowMillis) {
+        stage = Stage.QUEUED;
+        if (!front.localQueues().queueOf(service).hasQueuedAhead(tierRank)
+                && !tryDispatch(nowMillis).stillQueued()) {
+            return;
+        }
+        front.localQueues().queueOf(service).add(this, nowMillis);
+    }
+
+    private Demand demand(long nowMillis) {
+        return ImmutableDemand.builder()
+                .service(service)
+                .dataCentre(front.dataCentre())
+                .model(head.model())
+                .promptTokens(head.promptTokens())
+                .maxAnswerTokens(head.maxAnswerTokens())
+                .remainingMillis(deadlineAtMillis - nowMillis)
+                .promptParts(head.promptParts())
+                .tierRank(tierRank)
+                .triedTargets(triedTargetIds)
+                .build();
+    }
+
+    @Override
+    public PlacementAsk placementRequest(long id) {
+        long nowMillis = front.nowMillis();
+        return PlacementMessages.placementRequest(
+                id,
+                demand(nowMillis),
+                queueTimeoutAtMillis - nowMillis,
+                onTimeUntilMillis() - nowMillis,
+                organisation.filter(known -> !quotaConsumed).map(Organisation::name),
+                quotaTokens);
+    }
+
+    @Override
+    public void ticketIssued(PlacementTicket issued) {
+        ticket = issued;
+    }
+
+    @Override
+    public void granted(Candidate chosen) {
+        if (!quotaConsumed) {
+            organisation.ifPresent(
+                    known -> front.quotas().recordCoordinatorAdmission(known.name(), quotaTokens, front.nowMillis()));
+            quotaConsumed = true;
+        }
+        connect(chosen, ticket, front.nowMillis());
+    }
+
+    @Override
+    public void shed(RejectionDetails details) {
+        rejectUnplaced(details.retryAfterMillis(), Optional.of(details));
+    }
+
+    @Override
+    public void overQuota(RejectionDetails details) {
+        long retryAfterMillis = Math.max(details.retryAfterMillis(), Front.NOT_READY_RETRY_AFTER_MILLIS);
+        respondWithError(new ErrorResponse(ErrorKind.OVER_QUOTA, retryAfterMillis, Optional.of(details)));
+    }
+
+    @Override
+    public void coordinatorUnavailable() {
+        Optional<ErrorResponse> quotaError = quotaConsumed
+                ? Optional.empty()
+                : front.admission().consumeQuota(organisation, service, quotaTokens, front.nowMillis());
+        if (quotaError.isPresent()) {
+            respondWithError(quotaError.get());
+            return;
+        }
+        quotaConsumed = true;
+        placeLocally(front.nowMillis());
+    }
+
+    @Override
+    public int tierRank() {
+        return tierRank;
+    }
+
+    @Override
+    public long queueTimeoutAtMillis() {
+        return queueTimeoutAtMillis;
+    }
+
+    @Override
+    public long backlogTimeoutAtMillis() {
+        long onTimeMillis = QueueTimeouts.onTimeMillis(route.latencyObjectiveMillis());
+        return dispatchCount > 0
+                ? queueTimeoutAtMillis
+                : arrivedAtMillis + QueueTimeouts.backlogTimeoutMillis(onTimeMillis);
+    }
+
+    @Override
+    public long onTimeUntilMillis() {
+        return arrivedAtMillis + QueueTimeouts.onTimeMillis(route.latencyObjectiveMillis());
+    }
+
+    @Override
+    public String requiredModel() {
+        return head.model();
+    }
+
+    @Override
+    public DispatchResult tryDispatch(long nowMillis) {
+        Optional<Candidate> chosen = front.chooseLocally(demand(nowMillis), nowMillis);
+        if (chosen.isEmpty()) {
+            return DispatchResult.NO_TARGET;
+        }
+        Candidate candidate = chosen.get();
+        candidate.recordDispatch(nowMillis);
+        connect(candidate, front.coordination().placedLocally(service, candidate), nowMillis);
+        return DispatchResult.SENT;
+    }
+
+    @Override
+    public void reject(long nowMillis) {
+        rejectUnplaced(front.localQueues().retryAfterMillis(service), Optional.empty());
+    }
+
+    private void rejectUnplaced(long retryAfterMillis, Optional<RejectionDetails> details) {
+        ErrorKind kind = triedTargetIds.isEmpty() ? ErrorKind.SHED : ErrorKind.TARGET_REFUSED;
+        respondWithError(
+                new ErrorResponse(mayHaveExecuted() ? ErrorKind.TARGET_LOST : kind, retryAfterMillis, details));
+    }
+
+    private void connect(Candidate chosen, PlacementTicket placement, long nowMillis) {
+        stage = Stage.CONNECTING;
+        ticket = placement;
+        String targetId = chosen.state().target().id();
+        targetRun = new TargetRun(front.entry(targetId), chosen, placement);
+        front.prompts().recordPrefill(head.promptParts(), targetId, nowMillis);
+        targetRun.entry().pool().acquire(!route.idempotent(), this::connectionAcquired);
+    }
+
+    private void connectionAcquired(Optional<TargetConnection> acquired) {
+        long nowMillis = front.nowMillis();
+        TargetRun current = targetRun;
+        if (stage != Stage.CONNECTING) {
+            acquired.ifPresent(idle -> current.entry().pool().release(idle));
+            return;
+        }
+        if (acquired.isEmpty()) {
+            endRun(RunEvent.RUN_UNREACHABLE);
+            front.targetFailed(current.entry(), TargetFailure.UNREACHABLE);
+            place(nowMillis);
+            return;
+        }
+        if (deadlineAtMillis - nowMillis < MIN_REMAINING_MILLIS || !front.mayReceive(current.entry())) {
+            current.entry().pool().release(acquired.get());
+            endRun(RunEvent.RUN_GIVEN_UP);
+            place(nowMillis);
+            return;
+        }
+        if (!caller.isCallerConnected()) {
+            // The pending notification that the caller's connection closed ends this exchange too.
+            current.entry().pool().release(acquired.get());
+            return;
+        }
+        connection = acquired.get();
+        send(nowMillis);
+    }
+
+    private void send(long nowMillis) {
+        Target target = targetRun.entry().state().target();
+        stage = Stage.SENT;
+        dispatchCount++;
+        possibleExecutions++;
+        triedTargetIds.add(target.id());
+        targetRun.sent(nowMillis);
+        silenceWatch = new SilenceWatch(
+                route.latencyObjectiveMillis(), targetRun.candidate().firstEventMillis(), nowMillis);
+        Optional<String> lastEventId =
+                responseAssembler.streamStarted() ? responseAssembler.lastEventId() : head.lastEventId();
+        DispatchParameters dispatch = new DispatchParameters(
+                target.id(), organisation.map(Organisation::name), deadlineAtMillis - nowMillis, lastEventId);
+        front.metrics().recordQueueTime(route.kind(), nowMillis - arrivedAtMillis);
+        FrontLog.sent(this, target, nowMillis - arrivedAtMillis, targetRun.candidate());
+        connection.send(front.dialect().targetRequest(request, dispatch), body, head.attemptId(), this);
+    }
+
+    @Override
+    public void head(HttpResponse response, ResponseHead responseHead) {
+        recordBytesReceived();
+        responseAssembler.head(response, responseHead);
+        if (responseHead.status() / 100 == 2) {
+            targetRun.succeeded();
+        }
+    }
+
+    @Override
+    public void content(ByteBuf chunk) {
+        recordBytesReceived();
+        if (responseAssembler.content(chunk) && !caller.writable()) {
+            connection.setReading(false);
+        }
+    }
+
+    void callerWritabilityChanged(boolean writable) {
+        if (connection != null && stage == Stage.SENT) {
+            connection.setReading(writable);
+        }
+    }
+
+    private void recordBytesReceived() {
+        long nowMillis = front.nowMillis();
+        silenceWatch.bytesReceived(nowMillis);
+        targetRun.entry().bytesReceived(nowMillis);
+        if (!targetRun.firstByteReceived()) {
+            targetRun.firstByte(nowMillis);
+            front.metrics().recordFirstByte(route.kind(), targetRun.firstByteMillis());
+        }
+    }
+
+    @Override
+    public void complete() {
+        connection = null;
+        long nowMillis = front.nowMillis();
+        TargetEntry entry = targetRun.entry();
+        if (responseAssembler.notExecuted()) {
+            possibleExecutions--;
+            if (responseAssembler.fromWrongTarget()) {
+                endRun(RunEvent.RUN_UNREACHABLE);
+                front.targetFailed(entry, TargetFailure.UNREACHABLE);
+            } else {
+                endRun(RunEvent.RUN_REFUSED);
+                front.targetAnsweredError(entry);
+            }
+            retryElsewhereOrReject(nowMillis);
+        } else if (!responseAssembler.isDeliverable()) {
+            endRun(RunEvent.RUN_BROKEN);
+            retryOrFail(TargetFailure.GARBLED, nowMillis);
+        } else if (responseAssembler.status() >= 500) {
+            endRun(RunEvent.RUN_ERRED);
+            front.targetAnsweredError(entry);
+            retryOrDeliverError(nowMillis);
+        } else {
+            front.targetAnswered(entry);
+            targetRun.end(
+                    RunEvent.RUN_ANSWERED,
+                    dispatchCount == 1 ? head.maxAnswerTokens() : 0,
+                    silenceWatch.lastByteAtMillis());
+            endRun(RunEvent.RUN_ANSWERED);
+            deliver();
+        }
+    }
+
+    private void retryOrDeliverError(long nowMillis) {
+        if (!canRetry(nowMillis)) {
+            deliver();
+            return;
+        }
+        front.metrics().retried();
+        FrontLog.retried(this, targetRun.entry().state().target(), "status " + responseAssembler.status());
+        responseAssembler.discardIncomplete();
+        place(nowMillis);
+    }
+
+    /** Returns whether any target may have executed the request or may still execute it. */
+    private boolean mayHaveExecuted() {
+        return possibleExecutions > 0;
+    }
+
+    private void deliver() {
+        front.metrics().answered();
+        boolean complete = responseAssembler.endsAtEventBoundary();
+        FrontLog.ended(this, entry(), complete ? "answered" : "broken-off", responseAssembler.status(), ageMillis());
+        stage = Stage.ENDED;
+        if (complete) {
+            responseAssembler.deliver();
+            end();
+        } else {
+            end();
+            abortResponse(TruncationCause.PART_OF_EVENT);
+        }
+    }
+
+    /** Closes the caller's connection, because a response that has started cannot be completed. */
+    private void abortResponse(TruncationCause cause) {
+        front.metrics().streamTruncated(cause);
+        caller.abort();
+    }
+
+    @Override
+    public void failed(TargetFailure failure) {
+        connection = null;
+        endRun(failure.event());
+        front.targetFailed(targetRun.entry(), failure);
+        retryOrFail(failure, front.nowMillis());
+    }
+
+    private void retryOrFail(TargetFailure failure, long nowMillis) {
+        responseAssembler.discardIncomplete();
+        if (canRetry(nowMillis)) {
+            front.metrics().retried();
+            FrontLog.retried(this, targetRun.entry().state().target(), failure.name());
+            queueTimeoutAtMillis = Math.max(queueTimeoutAtMillis, nowMillis + route.latencyObjectiveMillis());
+            place(nowMillis);
+            return;
+        }
+        if (responseAssembler.streamStarted()) {
+            FrontLog.ended(this, entry(), "broken-off", responseAssembler.status(), ageMillis());
+            end();
+            abortResponse(TruncationCause.TARGET_LOST);
+            return;
+        }
+        respondWithError(new ErrorResponse(ErrorKind.TARGET_LOST, 0));
+    }
+
+    private boolean canRetry(long nowMillis) {
+        return route.idempotent()
+                && responseAssembler.canResume()
+                && dispatchCount < route.maxAttempts()
+                && deadlineAtMillis - nowMillis > MIN_REMAINING_MILLIS
+                && front.retryBudget(service).tryRetry(nowMillis, front.retryAllowance());
+    }
+
+    private void retryElsewhereOrReject(long nowMillis) {
+        responseAssembler.discardIncomplete();
+        boolean mayRetry = dispatchCount < route.maxAttempts()
+                && front.retryBudget(service).tryRetry(nowMillis, front.retryAllowance());
+        if (mayRetry && nowMillis < queueTimeoutAtMillis) {
+            place(nowMillis);
+        } else if (responseAssembler.streamStarted()) {
+            FrontLog.ended(this, entry(), "broken-off", responseAssembler.status(), ageMillis());
+            end();
+            abortResponse(TruncationCause.TARGET_LOST);
+        } else {
+            ErrorKind kind = mayHaveExecuted() ? ErrorKind.TARGET_LOST : ErrorKind.TARGET_REFUSED;
+            respondWithError(new ErrorResponse(kind, front.localQueues().retryAfterMillis(service)));
+        }
+    }
+
+    private TargetEntry entry() {
+        return targetRun == null ? null : targetRun.entry();
+    }
+
+    private void endRun(RunEvent event) {
+        if (targetRun != null) {
+            targetRun.end(event, 0, front.nowMillis());
+            front.localQueues().slotFreed(service);
+        }
+    }
+
+    /** Checks the deadline, the queue timeout and whether the target has fallen silent. */
+    void checkTimeouts(long nowMillis) {
+        if (stage == Stage.ENDED || route == null) {
+            return;
+        }
+        if (nowMillis >= deadlineAtMillis) {
+            deadlineReached();
+            return;
+        }
+        if (stage == Stage.AWAITING_PLACEMENT && nowMillis > queueTimeoutAtMillis + COORDINATOR_GRACE_MILLIS) {
+            rejectUnplaced(front.localQueues().retryAfterMillis(service), Optional.empty());
+            return;
+        }
+        if (stage != Stage.SENT) {
+            return;
+        }
+        if (silenceWatch.targetBecameSilent(targetRun.entry(), responseAssembler.streamStarted(), nowMillis)
+                && !targetRun.stalled()) {
+            front.targetFailed(targetRun.entry(), TargetFailure.SILENT);
+        }
+        boolean stalled = silenceWatch.requestStalled(responseAssembler.streamStarted(), nowMillis);
+        if (stalled
+                && route.idempotent()
+                && dispatchCount < route.maxAttempts()
+                && front.hasUntriedTarget(service, triedTargetIds)) {
+            connection.cancel();
+            connection = null;
+            endRun(RunEvent.RUN_SILENT);
+            retryOrFail(TargetFailure.SILENT, nowMillis);
+        }
+    }
+
+    private void deadlineReached() {
+        if (stage == Stage.QUEUED) {
+            front.localQueues().queueOf(service).remove(this);
+        }
+        if (responseAssembler.streamStarted()) {
+            FrontLog.ended(this, entry(), "timed-out", responseAssembler.status(), ageMillis());
+            cancelRun();
+            end();
+            abortResponse(TruncationCause.TIMED_OUT);
+            return;
+        }
+        boolean possiblyExecuted = mayHaveExecuted();
+        cancelRun();
+        respondWithError(
+                possiblyExecuted
+                        ? new ErrorResponse(ErrorKind.DEADLINE_RUNNING, 0)
+                        : new ErrorResponse(
+                                ErrorKind.HOPELESS, front.localQueues().retryAfterMillis(service)));
+    }
+
+    /**
+     * Cancels the request, because its caller disconnected.
+     *
+     * @param closeCause reason why the caller's connection closed
+     */
+    void callerDisconnected(String closeCause) {
+        if (stage == Stage.ENDED) {
+            return;
+        }
+        if (stage == Stage.QUEUED && route != null) {
+            front.localQueues().queueOf(service).remove(this);
+        }
+        cancelRun();
+        if (route != null) {
+            FrontLog.callerLeft(this, entry(), closeCause, ageMillis());
+        }
+        if (responseAssembler != null && responseAssembler.streamStarted()) {
+            front.metrics().streamTruncated(TruncationCause.CALLER_LEFT);
+        }
+        end();
+    }
+
+    private void cancelRun() {
+        if (connection != null) {
+            connection.cancel();
+            connection = null;
+        }
+        endRun(RunEvent.RUN_GIVEN_UP);
+    }
+
+    private void respondWithError(ErrorResponse error) {
+        if (stage == Stage.ENDED) {
+            return;
+        }
+        if (quotaConsumed && !mayHaveExecuted()) {
+            organisation.ifPresent(known -> front.quotas().refund(known.name(), quotaTokens));
+        }
+        front.metrics().failed(error.kind());
+        FrontLog.refused(this, error);
+        end();
+        if (responseAssembler != null && responseAssembler.streamStarted()) {
+            abortResponse(TruncationCause.REFUSED);
+        } else {
+            caller.respond(error);
+        }
+    }
+
+    private void end() {
+        stage = Stage.ENDED;
+        if (ticket != null) {
+            ticket.ended(RunEvent.RUN_GIVEN_UP, 0);
+        }
+        if (responseAssembler != null) {
+            responseAssembler.discardIncomplete();
+        }
+        body.release();
+        front.exchangeEnded(this);
+    }
+
+    /** Returns the time from the last dispatch to the first byte of its response; empty before that byte. */
+    OptionalLong firstByteMillis() {
+        return targetRun != null && targetRun.firstByteReceived()
+                ? OptionalLong.of(targetRun.firstByteMillis())
+                : OptionalLong.empty();
+    }
+
+    String service() {
+        return service;
+    }
+
+    /** Returns the tokens that the request consumes of its organisation's quota. */
+    long quotaTokens() {
+        return quotaTokens;
+    }
+
+    /** Returns the name of the coordinator that decided the placement; empty when this process decided. */
+    String coordinatorName() {
+        return ticket == null ? "" : ticket.coordinatorName();
+    }
+
+    /** Returns the catalog freshness at the arrival of the request. */
+    CatalogFreshness catalogFreshness() {
+        return catalogFreshness;
+    }
+
+    /** Returns the time in milliseconds since the request arrived. */
+    long ageMillis() {
+        return front.nowMillis() - arrivedAtMillis;
+    }
+
+    Optional<Organisation> organisation() {
+        return organisation;
+    }
+}
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Coordination.java
@@ -15,11 +15,11 @@
 import org.whinwharf.runtime.log.EventLog;
 import org.whinwharf.runtime.log.LogEvent;
 import org.whinwharf.time.Ticker;
-import org.whinwharf.traffic.coordination.Ask;
 import org.whinwharf.traffic.coordination.Coordinator;
 import org.whinwharf.traffic.coordination.CoordinatorRanking;
-import org.whinwharf.traffic.coordination.Outbox;
-import org.whinwharf.traffic.coordination.RefusalGrounds;
+import org.whinwharf.traffic.coordination.DecisionListener;
+import org.whinwharf.traffic.coordination.PlacementRequest;
+import org.whinwharf.traffic.coordination.RejectionDetails;
 import org.whinwharf.traffic.coordination.RunningRequests;
 import org.whinwharf.traffic.member.Member;
 import org.whinwharf.traffic.member.MemberTable;
@@ -36,106 +36,110 @@
 import org.whinwharf.wire.fleet.RunsUnderWay;
 
 /**
- * This process's part in the common placement of requests: it asks the coordinator of a service for targets, and
- * answers the others where it coordinates itself.
+ * Places requests through the coordinator of their service, and runs the coordinator of the services that this process
+ * coordinates itself.
  *
- * <p>Each ask is answered at once, if only with the word that the request waits. A coordinator that does not answer is
- * dead, frozen, cut off or overloaded; then the next in rank is asked, and after that the process chooses on its own.
- * So a lost coordinator costs its requests a fifth of a second at most.
+ * <p>A coordinator replies to each placement request at once, if only to say that the request is queued. A coordinator
+ * that does not reply is dead, frozen, partitioned or overloaded; the request then goes to the next in rank, and after
+ * that this process places it locally. A lost coordinator therefore delays its requests by 200 ms at most.
  */
 final class Coordination {
-    /** Time after which an unanswered ask is sent again: ten times the way there and back, a datagram may be lost. */
-    private static final long RESEND_MILLIS = 40;
-    /** Time for which a silent coordinator is passed over: about what a restart takes. */
-    private static final long PASSED_OVER_MILLIS = 2_000;
-    /** Time between asks of a request that waits; they show that the coordinator still has it. */
-    private static final long WAITING_ASK_MILLIS = 300;
-    /** Time between lists of what is under way. */
-    private static final long LIST_MILLIS = 1_000;
-    /** Processes that get these lists: the coordinator, and one that is ready to take over from it. */
-    private static final int LISTENERS = 2;
-    /** Age up to which a ranking is used again; sorting ninety processes for each request would cost more than it. */
-    private static final long RANKING_MILLIS = 100;
-    /** Coordinators that one request is put to. */
-    private static final int MOST_ASKED = 2;
+    /** Interval at which an unanswered request is resent, since datagrams may be lost: ten round-trip times. */
+    private static final long RESEND_INTERVAL_MILLIS = 40;
+    /** Time for which a silent coordinator is skipped: about as long as a restart takes. */
+    private static final long SILENT_COORDINATOR_SKIP_MILLIS = 2_000;
+    /**
+     * Interval at which the placement request of a queued request is repeated, to check that the coordinator still has
+     * it.
+     */
+    private static final long QUEUED_REFRESH_INTERVAL_MILLIS = 300;
+    /** Interval at which the lists of running requests are sent. */
+    private static final long RUN_REPORT_INTERVAL_MILLIS = 1_000;
+    /** Number of processes that receive these lists: the coordinator and the next in rank, so that it can take over. */
+    private static final int RUN_REPORT_RECIPIENTS = 2;
+    /** Age up to which a ranking is reused; ranking 90 processes for each request would cost more than the request. */
+    private static final long MAX_RANKING_AGE_MILLIS = 100;
+    /** Number of coordinators tried for one request before it is placed locally. */
+    private static final int MAX_COORDINATORS_TRIED = 2;
 
     private final FrontSettings settings;
     private final MemberTable members;
-    private final Targets targets;
+    private final TargetRegistry targets;
     private final PeerDatagrams datagrams;
     private final Ticker ticker;
     private final Coordinator coordinator;
-    private final Predicate<String> covered;
+    private final Predicate<String> coordinatedServices;
     private final Map<Long, PlacementTicket> tickets = new LinkedHashMap<>();
-    private final Map<String, Long> passedOverUntilMillis = new HashMap<>();
+    private final Map<String, Long> skippedUntilMillis = new HashMap<>();
     private final Map<String, String> lastCoordinators = new HashMap<>();
-    private final Map<String, String> askerIps = new HashMap<>();
+    private final Map<String, String> requesterIps = new HashMap<>();
     private final Map<String, List<MemberReport>> rankings = new HashMap<>();
     private long rankedAtMillis;
     private long nextId;
-    private long listedAtMillis;
+    private long runsReportedAtMillis;
 
     /**
-     * Creates this process's part.
+     * Creates the placement client and coordinator of this process.
      *
      * @param settings settings of this process
-     * @param members the fleet
-     * @param targets all targets
-     * @param datagrams ways to the others
-     * @param ticker steady clock
-     * @param coordinators builds the coordinator, given who takes its decisions
-     * @param covered tells which services are coordinated
+     * @param members members of the fleet
+     * @param targets all known targets
+     * @param datagrams datagrams to and from peers
+     * @param ticker monotonic clock
+     * @param coordinators creates the coordinator, given the listener for its decisions
+     * @param coordinatedServices matches the services whose requests a coordinator places
      */
     Coordination(
             FrontSettings settings,
             MemberTable members,
-            Targets targets,
+            TargetRegistry targets,
             PeerDatagrams datagrams,
             Ticker ticker,
-            Function<Outbox, Coordinator> coordinators,
-            Predicate<String> covered) {
+            Function<DecisionListener, Coordinator> coordinators,
+            Predicate<String> coordinatedServices) {
         this.settings = settings;
         this.members = members;
         this.targets = targets;
         this.datagrams = datagrams;
         this.ticker = ticker;
-        this.covered = covered;
-        coordinator = coordinators.apply(new Replies());
-        nextId = members.own().getIncarnation() << 20;
-        datagrams.listen(this::received);
+        this.coordinatedServices = coordinatedServices;
+        coordinator = coordinators.apply(new ReplySender());
+        nextId = members.localReport().getIncarnation() << 20;
+        datagrams.addListener(this::receive);
     }
 
-    /** Tells whether requests to a service are placed by a coordinator. */
-    boolean covers(String service) {
-        return covered.test(service);
+    /** Tells whether a coordinator places the requests of a service. */
+    boolean isCoordinated(String service) {
+        return coordinatedServices.test(service);
     }
 
     /** Tells whether this process is the coordinator of a service. */
-    boolean coordinates(String service) {
+    boolean isLocalCoordinator(String service) {
         return coordinatorOf(service)
                 .filter(report -> report.getName().equals(settings.name()))
                 .isPresent();
     }
 
-    /** Tells whether another process has to be asked for the quota of requests to a service. */
-    boolean asksElsewhere(String service) {
+    /** Tells whether another process coordinates a service, and so admits its requests against their quotas. */
+    boolean hasRemoteCoordinator(String service) {
         return coordinatorOf(service)
                 .filter(report -> !report.getName().equals(settings.name()))
                 .isPresent();
     }
 
-    /** Returns the addresses of the coordinators of all services with requests under way here. */
+    /** Returns the addresses of the highest-ranked coordinators of each service with requests in flight here. */
     Collection<String> coordinatorIps() {
         Set<String> ips = new LinkedHashSet<>();
-        services()
-                .forEach(service ->
-                        ranking(service).stream().limit(LISTENERS).forEach(report -> ips.add(report.getIp())));
+        activeServices()
+                .forEach(service -> ranking(service).stream()
+                        .limit(RUN_REPORT_RECIPIENTS)
+                        .forEach(report -> ips.add(report.getIp())));
         return ips;
     }
 
-    /** Tells whether a request of this process, or one of another here, has no target yet. */
-    boolean someWait() {
-        if (coordinator.waiting() > 0) {
+    /** Tells whether a request of this process, or one queued at the local coordinator, has no target yet. */
+    boolean hasPendingRequests() {
+        if (coordinator.queuedRequests() > 0) {
             return true;
         }
         for (PlacementTicket ticket : tickets.values()) {
@@ -146,99 +150,100 @@
         return false;
     }
 
-    /** Returns how many requests of all processes wait here. */
-    int waiting() {
-        return coordinator.waiting();
+    /** Returns the number of requests of all processes that are queued at the local coordinator. */
+    int queuedRequests() {
+        return coordinator.queuedRequests();
     }
 
-    /** Asks for a target. */
-    void ask(String service, PlacementListener listener) {
+    /** Requests a target for a request; the outcome is passed to the listener. */
+    void requestPlacement(String service, PlacementListener listener) {
         PlacementTicket ticket = new PlacementTicket(this, nextId++, service, listener);
         tickets.put(ticket.id(), ticket);
-        listener.asked(ticket);
-        putToCoordinator(ticket);
+        listener.ticketIssued(ticket);
+        sendToCoordinator(ticket);
     }
 
-    /** Notes a request that this process places on its own; coordinators hear of it with the next list. */
-    PlacementTicket placedHere(String service, Candidate candidate) {
+    /** Registers a request that this process placed itself; coordinators learn of it from the next list. */
+    PlacementTicket placedLocally(String service, Candidate candidate) {
         PlacementTicket ticket = new PlacementTicket(this, nextId++, service, null);
         ticket.placed(candidate.state().target().id(), candidate.uncachedTokens());
-        if (covered.test(service)) {
+        if (coordinatedServices.test(service)) {
             tickets.put(ticket.id(), ticket);
         }
         return ticket;
     }
 
-    private void putToCoordinator(PlacementTicket ticket) {
-        Optional<MemberReport> best =
-                ticket.coordinatorsAsked() >= MOST_ASKED ? Optional.empty() : coordinatorOf(ticket.service());
-        if (best.isEmpty()) {
+    private void sendToCoordinator(PlacementTicket ticket) {
+        Optional<MemberReport> next = ticket.coordinatorsTried() >= MAX_COORDINATORS_TRIED
+                ? Optional.empty()
+                : coordinatorOf(ticket.service());
+        if (next.isEmpty()) {
             tickets.remove(ticket.id());
-            ticket.listener().noCoordinator();
+            ticket.listener().coordinatorUnavailable();
             return;
         }
-        ticket.askedOf(best.get().getName(), best.get().getIp(), ticker.nowMillis());
-        noteCoordinator(ticket.service(), best.get().getName());
-        sendAsk(ticket);
+        ticket.requestedFrom(next.get().getName(), next.get().getIp(), ticker.nowMillis());
+        recordCoordinator(ticket.service(), next.get().getName());
+        sendRequest(ticket);
     }
 
-    private void sendAsk(PlacementTicket ticket) {
-        PlacementAsk ask = ticket.listener().ask(ticket.id());
+    private void sendRequest(PlacementTicket ticket) {
+        PlacementAsk request = ticket.listener().placementRequest(ticket.id());
         if (ticket.coordinatorName().equals(settings.name())) {
-            asked(settings.name(), ask, ticker.nowMillis());
+            receiveRequest(settings.name(), request, ticker.nowMillis());
         } else {
-            datagrams.send(datagram().addAsks(ask).build(), ticket.coordinatorIp());
+            datagrams.send(datagram().addAsks(request).build(), ticket.coordinatorIp());
         }
     }
 
-    private void noteCoordinator(String service, String name) {
-        String before = lastCoordinators.put(service, name);
-        if (!name.equals(before)) {
-            sendLists(service);
+    private void recordCoordinator(String service, String name) {
+        String previous = lastCoordinators.put(service, name);
+        if (!name.equals(previous)) {
+            reportRuns(service);
             EventLog.event(LogEvent.COORDINATOR_CHANGED)
                     .with(EventField.SERVICE, service)
-                    .with(EventField.FROM, before == null ? "" : before)
+                    .with(EventField.FROM, previous == null ? "" : previous)
                     .with(EventField.TO, name)
                     .call();
         }
     }
 
-    /** Sends unanswered asks again, turns away from silent coordinators, and does the own coordinator's duty. */
+    /** Resends unanswered placement requests, skips silent coordinators and advances the local coordinator. */
     void tick() {
         long nowMillis = ticker.nowMillis();
         coordinator.advance(nowMillis);
         for (PlacementTicket ticket : List.copyOf(tickets.values())) {
             if (!ticket.settled() && !ticket.coordinatorName().equals(settings.name())) {
-                follow(ticket, nowMillis);
+                checkUnplaced(ticket, nowMillis);
             }
         }
-        if (nowMillis - listedAtMillis >= LIST_MILLIS) {
-            listedAtMillis = nowMillis;
-            services().forEach(this::sendLists);
+        if (nowMillis - runsReportedAtMillis >= RUN_REPORT_INTERVAL_MILLIS) {
+            runsReportedAtMillis = nowMillis;
+            activeServices().forEach(this::reportRuns);
         }
     }
 
-    private void follow(PlacementTicket ticket, long nowMillis) {
-        if (ticket.waiting()) {
-            if (nowMillis - ticket.askedAtMillis() >= WAITING_ASK_MILLIS) {
-                ticket.askedAgain(nowMillis);
-                sendAsk(ticket);
+    private void checkUnplaced(PlacementTicket ticket, long nowMillis) {
+        if (ticket.isQueued()) {
+            if (nowMillis - ticket.requestedAtMillis() >= QUEUED_REFRESH_INTERVAL_MILLIS) {
+                ticket.refreshed(nowMillis);
+                sendRequest(ticket);
             }
             return;
         }
-        if (nowMillis - ticket.askedAtMillis() >= settings.coordinatorSilentMillis()) {
-            passedOverUntilMillis.put(ticket.coordinatorName(), nowMillis + PASSED_OVER_MILLIS);
+        if (nowMillis - ticket.requestedAtMillis() >= settings.coordinatorTimeoutMillis()) {
+            skippedUntilMillis.put(ticket.coordinatorName(), nowMillis + SILENT_COORDINATOR_SKIP_MILLIS);
             rankings.clear();
-            FrontLog.passedOver(ticket, nowMillis - ticket.askedAtMillis());
+            FrontLog.coordinatorSilent(ticket, nowMillis - ticket.requestedAtMillis());
             report(ticket, RunEvent.RUN_GIVEN_UP, 0);
-            putToCoordinator(ticket);
-        } else if (nowMillis - ticket.sentAtMillis() >= RESEND_MILLIS) {
-            ticket.sentAgain(nowMillis);
-            sendAsk(ticket);
+            sendToCoordinator(ticket);
+        } else if (nowMillis - ticket.sentAtMillis() >= RESEND_INTERVAL_MILLIS) {
+            ticket.resent(nowMillis);
+            sendRequest(ticket);
         }
     }
 
-    /** Tells a ticket's coordinator what became of it. */
+    /** Reports the progress of a ticket's request to its coordinator. */
     void report(PlacementTicket ticket, RunEvent event, long tookMillis) {
         report(ticket.coordinatorName(), ticket.coordinatorIp(), ticket.id(), event, tookMillis);
     }
@@ -248,7 +253,7 @@
             return;
         }
         if (name.equals(settings.name())) {
-            coordinator.progress(name, id, event, tookMillis, ticker.nowMillis());
+            coordinator.reportProgress(name, id, event, tookMillis, ticker.nowMillis());
             return;
         }
         RunProgress progress = RunProgress.newBuilder()
@@ -263,23 +268,23 @@
         tickets.remove(ticket.id());
     }
 
-    private Set<String> services() {
+    private Set<String> activeServices() {
         Set<String> services = new LinkedHashSet<>();
         tickets.values().forEach(ticket -> services.add(ticket.service()));
         return services;
     }
 
-    private void sendLists(String service) {
+    private void reportRuns(String service) {
         List<RunUnderWay> runs = new ArrayList<>();
         tickets.values().stream()
                 .filter(ticket -> ticket.service().equals(service))
-                .forEach(ticket -> ticket.addTo(runs));
-        RunsUnderWay list =
+                .forEach(ticket -> ticket.addRunTo(runs));
+        RunsUnderWay runList =
                 RunsUnderWay.newBuilder().setService(service).addAllRuns(runs).build();
-        FleetDatagram message = datagram().addRuns(list).build();
-        ranking(service).stream().limit(LISTENERS).forEach(report -> {
+        FleetDatagram message = datagram().addRuns(runList).build();
+        ranking(service).stream().limit(RUN_REPORT_RECIPIENTS).forEach(report -> {
             if (report.getName().equals(settings.name())) {
-                underWay(settings.name(), list);
+                receiveRuns(settings.name(), runList);
             } else {
                 datagrams.send(message, report.getIp());
             }
@@ -287,12 +292,12 @@
     }
 
     private Optional<MemberReport> coordinatorOf(String service) {
-        return covered.test(service) ? ranking(service).stream().findFirst() : Optional.empty();
+        return coordinatedServices.test(service) ? ranking(service).stream().findFirst() : Optional.empty();
     }
 
     private List<MemberReport> ranking(String service) {
         long nowMillis = ticker.nowMillis();
-        if (nowMillis - rankedAtMillis >= RANKING_MILLIS) {
+        if (nowMillis - rankedAtMillis >= MAX_RANKING_AGE_MILLIS) {
             rankedAtMillis = nowMillis;
             rankings.clear();
         }
@@ -300,10 +305,10 @@
     }
 
     private List<MemberReport> rank(String service, long nowMillis) {
-        passedOverUntilMillis.values().removeIf(untilMillis -> nowMillis >= untilMillis);
+        skippedUntilMillis.values().removeIf(endMillis -> nowMillis >= endMillis);
         List<Member> serving = members.servingMembers(nowMillis).stream()
                 .filter(member ->
-                        !passedOverUntilMillis.containsKey(member.report().getName()))
+                        !skippedUntilMillis.containsKey(member.report().getName()))
                 .toList();
         return CoordinatorRanking.rank(service, serving);
     }
@@ -312,65 +317,65 @@
         return FleetDatagram.newBuilder().setFrom(settings.name());
     }
 
-    private void received(FleetDatagram datagram, String fromIp) {
+    private void receive(FleetDatagram datagram, String fromIp) {
         long nowMillis = ticker.nowMillis();
         String from = datagram.getFrom();
         if (datagram.getAsksCount() > 0) {
-            askerIps.put(from, fromIp);
-            datagram.getAsksList().forEach(ask -> asked(from, ask, nowMillis));
+            requesterIps.put(from, fromIp);
+            datagram.getAsksList().forEach(request -> receiveRequest(from, request, nowMillis));
         }
         datagram.getProgressList()
-                .forEach(progress -> coordinator.progress(
+                .forEach(progress -> coordinator.reportProgress(
                         from, progress.getId(), progress.getEvent(), progress.getTookMillis(), nowMillis));
-        datagram.getRunsList().forEach(list -> underWay(from, list));
-        datagram.getRepliesList().forEach(reply -> replied(from, fromIp, reply));
+        datagram.getRunsList().forEach(runList -> receiveRuns(from, runList));
+        datagram.getRepliesList().forEach(reply -> receiveReply(from, fromIp, reply));
     }
 
-    private void underWay(String from, RunsUnderWay list) {
+    private void receiveRuns(String from, RunsUnderWay runList) {
         Map<Long, RunningRequests.Run> runs = new HashMap<>();
-        list.getRunsList()
+        runList.getRunsList()
                 .forEach(
                         run -> runs.put(run.getId(), new RunningRequests.Run(run.getTarget(), run.getPrefillTokens())));
-        coordinator.underWay(from, list.getService(), runs, ticker.nowMillis());
+        coordinator.reportInFlight(from, runList.getService(), runs, ticker.nowMillis());
     }
 
-    private void replied(String from, String fromIp, PlacementReply reply) {
+    private void receiveReply(String from, String fromIp, PlacementReply reply) {
         PlacementTicket ticket = tickets.get(reply.getId());
         boolean granted = reply.getOutcome() == PlacementOutcome.PLACEMENT_GRANTED;
         boolean current = ticket != null && ticket.coordinatorName().equals(from);
         if (!current || ticket.settled()) {
-            if (granted && !(current && ticket.isAt(reply.getTarget()))) {
-                // The grant came too late; the place must not stay taken until the next list.
+            if (granted && !(current && ticket.isPlacedAt(reply.getTarget()))) {
+                // The grant is stale; without this report its slot would stay taken until the next list.
                 report(from, fromIp, reply.getId(), RunEvent.RUN_GIVEN_UP, 0);
             }
             return;
         }
         switch (reply.getOutcome()) {
-            case PLACEMENT_GRANTED -> granted(ticket, reply);
-            case PLACEMENT_WAITING -> ticket.waits(ticker.nowMillis());
+            case PLACEMENT_GRANTED -> acceptGrant(ticket, reply);
+            case PLACEMENT_WAITING -> ticket.queued(ticker.nowMillis());
             case PLACEMENT_SHED -> {
-                ticket.refused();
-                ticket.listener().shed(PlacementMessages.grounds(reply));
+                ticket.rejected();
+                ticket.listener().shed(PlacementMessages.rejectionDetails(reply));
             }
             case PLACEMENT_OVER_QUOTA -> {
-                ticket.refused();
-                ticket.listener().overQuota(PlacementMessages.grounds(reply));
+                ticket.rejected();
+                ticket.listener().overQuota(PlacementMessages.rejectionDetails(reply));
             }
             default ->
-                FrontLog.dutyFailed(
-                        "reply of a coordinator",
-                        new IllegalArgumentException("unknown outcome " + reply.getOutcome()));
+                FrontLog.taskFailed(
+                        "placement reply",
+                        new IllegalArgumentException("unknown placement outcome " + reply.getOutcome()));
         }
     }
 
-    private void granted(PlacementTicket ticket, PlacementReply reply) {
+    private void acceptGrant(PlacementTicket ticket, PlacementReply reply) {
         TargetEntry entry = targets.entry(reply.getTarget());
-        boolean coldUnknown = entry != null && entry.state().cold(ticker.nowMillis()) && !reply.getCold();
-        if (entry == null || coldUnknown || !targets.mayReceive(entry)) {
-            // This process knows better than the coordinator, by items that are newer here.
+        boolean coldnessMissed = entry != null && entry.state().cold(ticker.nowMillis()) && !reply.getCold();
+        if (entry == null || coldnessMissed || !targets.mayReceive(entry)) {
+            // The published items are newer here than at the coordinator, so its grant cannot be used.
             report(ticket, RunEvent.RUN_GIVEN_UP, 0);
             tickets.remove(ticket.id());
-            ticket.listener().noCoordinator();
+            ticket.listener().coordinatorUnavailable();
             return;
         }
         TargetState state = entry.state();
@@ -386,38 +391,38 @@
                         0));
     }
 
-    private void asked(String from, PlacementAsk ask, long nowMillis) {
-        coordinator.ask(PlacementMessages.ask(from, ask, nowMillis), nowMillis);
+    private void receiveRequest(String from, PlacementAsk request, long nowMillis) {
+        coordinator.requestPlacement(PlacementMessages.placementRequest(from, request, nowMillis), nowMillis);
     }
 
-    /** Sends the own coordinator's decisions to those who asked. */
-    private final class Replies implements Outbox {
+    /** Sends the decisions of the local coordinator to the requesters. */
+    private final class ReplySender implements DecisionListener {
         @Override
-        public void granted(Ask ask, Candidate candidate) {
-            reply(ask, PlacementMessages.granted(ask, candidate));
+        public void granted(PlacementRequest request, Candidate candidate) {
+            sendReply(request, PlacementMessages.granted(request, candidate));
         }
 
         @Override
-        public void waiting(Ask ask) {
-            reply(ask, PlacementMessages.waiting(ask));
+        public void queued(PlacementRequest request) {
+            sendReply(request, PlacementMessages.queued(request));
         }
 
         @Override
-        public void shed(Ask ask, RefusalGrounds grounds) {
-            reply(ask, PlacementMessages.refused(ask, PlacementOutcome.PLACEMENT_SHED, grounds));
+        public void shed(PlacementRequest request, RejectionDetails details) {
+            sendReply(request, PlacementMessages.rejected(request, PlacementOutcome.PLACEMENT_SHED, details));
         }
 
         @Override
-        public void overQuota(Ask ask, RefusalGrounds grounds) {
-            reply(ask, PlacementMessages.refused(ask, PlacementOutcome.PLACEMENT_OVER_QUOTA, grounds));
+        public void overQuota(PlacementRequest request, RejectionDetails details) {
+            sendReply(request, PlacementMessages.rejected(request, PlacementOutcome.PLACEMENT_OVER_QUOTA, details));
         }
 
-        private void reply(Ask ask, PlacementReply reply) {
-            if (ask.requester().equals(settings.name())) {
-                replied(settings.name(), settings.ip(), reply);
+        private void sendReply(PlacementRequest request, PlacementReply reply) {
+            if (request.requester().equals(settings.name())) {
+                receiveReply(settings.name(), settings.ip(), reply);
                 return;
             }
-            datagrams.send(datagram().addReplies(reply).build(), askerIps.get(ask.requester()));
+            datagrams.send(datagram().addReplies(reply).build(), requesterIps.get(request.requester()));
         }
     }
 }
--- /dev/null
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/EventStreamFramer.java
@@ -0,0 +1,84 @@
+package org.whinwharf.front;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import java.nio.charset.StandardCharsets;
+import java.util.Optional;
+
+/**
+ * Splits an event stream at event boundaries, so that another target can resume it after a failure.
+ *
+ * <p>A target may fail in the middle of an event. If the partial event were forwarded, the caller would read parts of
+ * two runs as one event. The framer therefore holds data back until the empty line that ends its event.
+ */
+final class EventStreamFramer {
+    private static final String ID_FIELD = "id:";
+
+    private ByteBuf partialEvent = Unpooled.EMPTY_BUFFER;
+    private Optional<String> lastEventId = Optional.empty();
+
+    /**
+     * Appends a chunk and returns the complete events received so far; the caller of the method releases the result.
+     */
+    ByteBuf append(ByteBuf chunk) {
+        ByteBuf data = partialEvent.isReadable() ? Unpooled.wrappedBuffer(partialEvent, chunk) : chunk;
+        int end = lastEventEnd(data);
+        if (end == data.readableBytes()) {
+            updateLastEventId(data);
+            partialEvent = Unpooled.EMPTY_BUFFER;
+            return data;
+        }
+        if (end < 0) {
+            partialEvent = data;
+            return Unpooled.EMPTY_BUFFER;
+        }
+        ByteBuf completeEvents = data.readRetainedSlice(end);
+        updateLastEventId(completeEvents);
+        partialEvent = data.readBytes(data.readableBytes());
+        data.release();
+        return completeEvents;
+    }
+
+    /** Returns the last id among the complete events returned so far; empty before the first. */
+    Optional<String> lastEventId() {
+        return lastEventId;
+    }
+
+    /** Returns whether a partial event is held back. */
+    boolean hasPartialEvent() {
+        return partialEvent.isReadable();
+    }
+
+    /** Discards a partial event that is held back. */
+    void discardPartialEvent() {
+        partialEvent.release();
+        partialEvent = Unpooled.EMPTY_BUFFER;
+    }
+
+    private static int lastEventEnd(ByteBuf data) {
+        int start = data.readerIndex();
+        for (int i = data.writerIndex() - 1; i > start; i--) {
+            if (data.getByte(i) != '\n') {
+                continue;
+            }
+            byte previous = data.getByte(i - 1);
+            boolean blank = previous == '\n' || previous == '\r' && i - 2 >= start && data.getByte(i - 2) == '\n';
+            if (blank) {
+                return i + 1 - start;
+            }
+        }
+        return -1;
+    }
+
+    private void updateLastEventId(ByteBuf completeEvents) {
+        String text = completeEvents.toString(StandardCharsets.UTF_8);
+        int lineBreak = text.lastIndexOf("\n" + ID_FIELD);
+        if (lineBreak < 0 && !text.startsWith(ID_FIELD)) {
+            return;
+        }
+        int fieldStart = lineBreak + 1;
+        int end = text.indexOf('\n', fieldStart);
+        lastEventId = Optional.of(text.substring(fieldStart + ID_FIELD.length(), end < 0 ? text.length() : end)
+                .trim());
+    }
+}
--- /dev/null
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FleetStateExchange.java
@@ -0,0 +1,115 @@
+package org.whinwharf.front;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.whinwharf.time.Ticker;
+import org.whinwharf.traffic.member.Member;
+import org.whinwharf.traffic.member.MemberTable;
+import org.whinwharf.traffic.quota.QuotaLedger;
+import org.whinwharf.wire.fleet.MemberPhase;
+import org.whinwharf.wire.fleet.MemberReport;
+
+/**
+ * Exchanges load and quota use with the other members of the fleet.
+ *
+ * <p>Writes the local state into this process's report, and applies the reports of other members to the local targets
+ * and quotas.
+ */
+final class FleetStateExchange {
+    private final FrontSettings settings;
+    private final MemberTable members;
+    private final TargetRegistry targets;
+    private final QuotaLedger quotas;
+    private final ItemFeed feed;
+    private final Ticker ticker;
+    private boolean remoteLoadsChanged;
+    private long aggregatedAtMillis;
+
+    FleetStateExchange(
+            FrontSettings settings,
+            MemberTable members,
+            TargetRegistry targets,
+            QuotaLedger quotas,
+            ItemFeed feed,
+            Ticker ticker) {
+        this.settings = settings;
+        this.members = members;
+        this.targets = targets;
+        this.quotas = quotas;
+        this.feed = feed;
+        this.ticker = ticker;
+    }
+
+    /**
+     * Builds the next report of this process.
+     *
+     * @param phase phase of this process
+     */
+    void updateLocalReport(MemberPhase phase) {
+        MemberReport.Builder report = MemberReport.newBuilder()
+                .setName(settings.name())
+                .setIp(settings.ip())
+                .setCallerAddress(settings.callerAddress())
+                .setDataCentre(settings.dataCentre())
+                .setPhase(phase)
+                .setRevision(feed.revision())
+                .setWatching(feed.watchHealthy())
+                .setProcessorPercent(settings.processorPercent());
+        for (TargetEntry entry : targets.all()) {
+            // Large fleets propagate reports too slowly for placement decisions; there the coordinator keeps these
+            // counts.
+            if (entry.state().localInFlight() > 0 && !members.largeFleet()) {
+                report.addUsesBuilder()
+                        .setTargetDigest(entry.state().target().digest())
+                        .setRunning(entry.state().localInFlight())
+                        .setPrefillTokens((int) entry.state().localPrefillTokens());
+            }
+        }
+        quotas.admittedTotals()
+                .forEach((digest, total) ->
+                        report.addQuotasBuilder().setOrganisationDigest(digest).setAdmittedTotal(total));
+        members.updateLocalReport(report);
+    }
+
+    /** Applies another member's report: its admitted quota totals at once, its load at the next aggregation. */
+    void applyReport(MemberReport report) {
+        remoteLoadsChanged = true;
+        feed.reportReceived(report);
+        report.getQuotasList()
+                .forEach(quota -> quotas.receiveTotal(
+                        report.getName(),
+                        report.getIncarnation(),
+                        quota.getOrganisationDigest(),
+                        quota.getAdmittedTotal(),
+                        ticker.nowMillis()));
+    }
+
+    /**
+     * Recomputes the load that the other members put on each target.
+     *
+     * <p>A small fleet recomputes it whenever a report arrived; otherwise it is recomputed once per silence interval.
+     *
+     * @param nowMillis monotonic clock in milliseconds
+     */
+    void updateRemoteLoads(long nowMillis) {
+        long intervalMillis = remoteLoadsChanged && !members.largeFleet() ? 0 : MemberTable.SUSPECT_TIMEOUT_MILLIS;
+        if (nowMillis - aggregatedAtMillis < intervalMillis) {
+            return;
+        }
+        remoteLoadsChanged = false;
+        aggregatedAtMillis = nowMillis;
+        Map<Integer, int[]> loadsByTarget = new HashMap<>();
+        for (Member member : members.alive(nowMillis)) {
+            member.report().getUsesList().forEach(load -> {
+                int[] sums = loadsByTarget.computeIfAbsent(load.getTargetDigest(), digest -> new int[2]);
+                sums[0] += load.getRunning();
+                sums[1] += load.getPrefillTokens();
+            });
+        }
+        int[] noLoad = new int[2];
+        for (TargetEntry entry : targets.all()) {
+            int[] sums = loadsByTarget.getOrDefault(entry.state().target().digest(), noLoad);
+            entry.state().updateRemoteLoad(sums[0], sums[1]);
+        }
+    }
+}
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/Front.java
@@ -24,52 +24,53 @@
 import org.whinwharf.traffic.catalog.Catalog;
 import org.whinwharf.traffic.catalog.TargetService;
 import org.whinwharf.traffic.coordination.Coordinator;
-import org.whinwharf.traffic.coordination.ImmutableCoordinatorParts;
-import org.whinwharf.traffic.coordination.Outbox;
+import org.whinwharf.traffic.coordination.DecisionListener;
+import org.whinwharf.traffic.coordination.ImmutableCoordinatorDependencies;
 import org.whinwharf.traffic.items.ItemMirror;
 import org.whinwharf.traffic.member.MemberTable;
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.traffic.placement.ColdShares;
 import org.whinwharf.traffic.placement.Demand;
-import org.whinwharf.traffic.placement.Placement;
 import org.whinwharf.traffic.placement.RendezvousColdShares;
+import org.whinwharf.traffic.placement.TargetSelector;
 import org.whinwharf.traffic.quota.QuotaLedger;
 import org.whinwharf.traffic.retry.RetryBudget;
-import org.whinwharf.traffic.target.PromptCache;
+import org.whinwharf.traffic.target.PromptCacheIndex;
 import org.whinwharf.traffic.target.Target;
 import org.whinwharf.wire.fleet.MemberPhase;
 import org.whinwharf.wire.fleet.MemberReport;
 
-/** One front process: it joins its parts and owns the thread on which all of them run. */
+/** One front process: creates its components, connects them, and owns the event loop on which all of them run. */
 public final class Front implements Service {
-    /** Advice to callers of a process that knows no catalog yet: it asks its peers several times within this. */
-    static final long NOT_READY_COME_BACK_MILLIS = 200;
-    /** Most bytes of an answer that is collected before it is passed on. */
-    static final int MOST_ANSWER_BYTES = 4 * 1_024 * 1_024;
-    /** Time between rounds of news; a request holds a slot several times as long. */
-    private static final long GOSSIP_MILLIS = 150;
-    /** Time between looks at requests while some wait: an eighth of the shortest objective of a plain service. */
-    private static final long TICK_MILLIS = 20;
-    /** Time between looks while none waits; what runs is judged by times of half a second and more. */
-    private static final long CALM_TICK_MILLIS = 60;
-    /** Time between looks at idle connections, probes and silent peers. */
-    private static final long SWEEP_MILLIS = 250;
-    /** Time that callers may still come after a request to stop: what they were told before has then run out. */
-    private static final long LINGER_MILLIS = 2_500;
+    /** Retry-After delay while no catalog is known; the process asks its peers for one several times in this time. */
+    static final long NOT_READY_RETRY_AFTER_MILLIS = 200;
+    /** Largest response, in bytes, that is collected in full before it is forwarded. */
+    static final int MAX_ANSWER_BYTES = 4 * 1_024 * 1_024;
+    /** Interval between gossip rounds; a request holds a slot for several times as long. */
+    private static final long GOSSIP_INTERVAL_MILLIS = 150;
+    /** Interval between checks while requests are queued: an eighth of the shortest objective of a plain service. */
+    private static final long TICK_INTERVAL_MILLIS = 20;
+    /** Interval between checks while no request is queued; the timeouts of running requests are 500 ms and more. */
+    private static final long IDLE_TICK_INTERVAL_MILLIS = 60;
+    /** Interval between checks of idle connections, of ejected targets due for a probe and of silent peers. */
+    private static final long SWEEP_INTERVAL_MILLIS = 250;
+    /** Time for which new callers are accepted after a stop is requested, until earlier address lists have expired. */
+    private static final long LATE_CALLER_MILLIS = 2_500;
     /**
-     * Part by which predictions are spread when this process places alone in a large fleet: more than engines of one
-     * generation differ, less than generations do.
+     * Relative jitter added to predictions when this process places requests locally in a large fleet: more than the
+     * difference between engines of one hardware generation, less than the difference between generations.
      */
-    private static final double BLIND_SPREAD = 0.5;
+    private static final double PREDICTION_JITTER = 0.5;
     /**
-     * Time from a start for which callers wait in the port's queue for the catalog. A caller gives an attempt up that
-     * is not read within a second; one that is told to come back keeps the rest of its time.
+     * Time after the start for which callers are left in the port's backlog until the catalog is known. A caller gives
+     * up an attempt that is not read within a second; a caller that receives a Retry-After delay keeps the rest of its
+     * time.
      */
-    private static final long HOLD_CALLERS_MILLIS = 600;
-    /** Time from a start after which metrics are served; requests are served before them. */
-    private static final long METRICS_AFTER_MILLIS = 2_000;
-    /** Time before the end of the grace period at which the process ends in any case. */
-    private static final long END_MARGIN_MILLIS = 600;
+    private static final long CATALOG_WAIT_LIMIT_MILLIS = 600;
+    /** Delay after the start until metrics are served, so that requests are served first. */
+    private static final long METRICS_START_DELAY_MILLIS = 2_000;
+    /** Time before the end of the grace period at which the process stops even if requests are in flight. */
+    private static final long STOP_MARGIN_MILLIS = 600;
 
     private FrontSettings settings;
     private final HttpDialect dialect;
@@ -77,38 +78,38 @@
     private final Random random = new Random();
     private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final MemberTable members;
-    private final Targets targets;
-    private final PromptCache prompts = new PromptCache();
+    private final TargetRegistry targets;
+    private final PromptCacheIndex prompts = new PromptCacheIndex();
     private final ColdShares coldShares;
-    private final Placement placement;
+    private final TargetSelector placement;
     private final QuotaLedger quotas;
     private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
-    private final OwnLines lines;
+    private final LocalQueues localQueues;
     private final Set<CallerConnection> connections = new LinkedHashSet<>();
-    private final Set<Exchange> exchanges = new LinkedHashSet<>();
+    private final Set<CallerExchange> exchanges = new LinkedHashSet<>();
     private final FrontMetrics metrics = new FrontMetrics();
-    private final CallerServer callers;
-    private final FleetNews news;
+    private final CallerAcceptor callers;
+    private final FleetStateExchange fleetState;
     private final PeerDatagrams datagrams;
     private final Gossip gossip;
     private final Coordination coordination;
-    private final Admission admission = new Admission(this);
+    private final AdmissionControl admission = new AdmissionControl(this);
     private final PeerItems peerItems;
     private final ItemFeed feed;
     private Optional<Catalog> catalog = Optional.empty();
     private MemberPhase phase = MemberPhase.MEMBER_STARTING;
-    private boolean accepting;
-    private boolean accepted;
+    private boolean acceptStarted;
+    private boolean acceptingCallers;
     private long startedAtMillis;
     private long leavingAtMillis;
-    private Runnable whenEnded = () -> {};
+    private Runnable onStopped = () -> {};
 
     /**
-     * Creates a process that is not started.
+     * Creates a front that is not started yet.
      *
-     * @param settings its settings
-     * @param dialect names that callers and targets use
-     * @param callerPort where callers connect
+     * @param settings settings of the process
+     * @param dialect header names and formats that callers and targets use
+     * @param callerPort open port to which callers connect
      */
     public Front(FrontSettings settings, HttpDialect dialect, CallerPort callerPort) {
         this.settings = settings;
@@ -118,27 +119,28 @@
                 .setIncarnation(System.currentTimeMillis())
                 .build());
         quotas = new QuotaLedger(settings.freshFleet());
-        targets = new Targets(loop, dialect, ticker, () -> catalog, metrics);
-        lines = new OwnLines(loop, ticker, random::nextDouble, settings.policy());
+        targets = new TargetRegistry(loop, dialect, ticker, () -> catalog, metrics);
+        localQueues = new LocalQueues(loop, ticker, random::nextDouble, settings.policy());
         coldShares = new RendezvousColdShares(settings.name(), this::servingNames, this::coldRate);
-        placement = new Placement(
+        placement = new TargetSelector(
                 prompts,
-                this::ownColdShare,
-                () -> members.large() ? random.nextDouble() * BLIND_SPREAD : 0,
+                this::localColdAllowance,
+                () -> members.largeFleet() ? random.nextDouble() * PREDICTION_JITTER : 0,
                 settings.policy());
         ItemMirror mirror = new ItemMirror();
         peerItems = new PeerItems(loop, mirror, metrics);
         feed = new ItemFeed(settings, members, mirror, peerItems, ticker, random);
-        news = new FleetNews(settings, members, targets, quotas, feed, ticker);
+        fleetState = new FleetStateExchange(settings, members, targets, quotas, feed, ticker);
         datagrams = new PeerDatagrams(settings);
-        coordination =
-                new Coordination(settings, members, targets, datagrams, ticker, this::coordinator, this::coordinated);
-        gossip = new Gossip(settings, members, ticker, random, datagrams, news::heard, coordination::coordinatorIps);
-        callers = new CallerServer(this, loop, callerPort);
+        coordination = new Coordination(
+                settings, members, targets, datagrams, ticker, this::createCoordinator, this::isCoordinated);
+        gossip = new Gossip(
+                settings, members, ticker, random, datagrams, fleetState::applyReport, coordination::coordinatorIps);
+        callers = new CallerAcceptor(this, loop, callerPort);
     }
 
     /**
-     * Returns the thread on which everything of this process runs.
+     * Returns the event loop whose single thread runs all components of this process.
      *
      * @return event loop
      */
@@ -156,7 +158,7 @@
     }
 
     /**
-     * Returns the steady clock.
+     * Returns the monotonic clock.
      *
      * @return clock
      */
@@ -173,14 +175,15 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        every("news for peers", GOSSIP_MILLIS, this::gossipRound);
+        scheduleRepeatedly("gossip", GOSSIP_INTERVAL_MILLIS, this::gossipRound);
         loop.execute(this::tickAndScheduleNext);
-        every("upkeep", SWEEP_MILLIS, this::sweep);
-        loop.schedule(() -> run("metrics", this::startMetrics), METRICS_AFTER_MILLIS, TimeUnit.MILLISECONDS);
+        scheduleRepeatedly("upkeep", SWEEP_INTERVAL_MILLIS, this::sweep);
+        loop.schedule(
+                () -> runLogged("metrics", this::startMetrics), METRICS_START_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         EventLog.event(LogEvent.STARTED)
                 .with(EventField.HOST, settings.name())
                 .with(EventField.ROLE, "front")
-                .with(EventField.INCARNATION, members.own().getIncarnation())
+                .with(EventField.INCARNATION, members.localReport().getIncarnation())
                 .call();
     }
 
@@ -188,9 +191,10 @@
         if (settings.metricsPort() == 0) {
             return;
         }
-        metrics.gauge("whinwharf.waiting.requests", "Requests that wait here", lines::size);
+        metrics.gauge("whinwharf.waiting.requests", "Requests that wait here", localQueues::size);
         metrics.gauge("whinwharf.running.requests", "Requests under way here", exchanges::size);
-        metrics.gauge("whinwharf.coordinated.waiting", "Requests of all fronts that wait here", coordination::waiting);
+        metrics.gauge(
+                "whinwharf.coordinated.waiting", "Requests of all fronts that wait here", coordination::queuedRequests);
         metrics.gauge("whinwharf.connections", "Connections of callers", connections::size);
         metrics.gauge(
                 "whinwharf.peers",
@@ -201,37 +205,37 @@
                 "Version in force",
                 () -> catalog.map(Catalog::version).orElse(0L));
         metrics.gauge("whinwharf.items.revision", "Revision of the published items", feed::revision);
-        metrics.gauge("whinwharf.watching", "1 while the own watch works", () -> feed.watchWorks() ? 1 : 0);
+        metrics.gauge("whinwharf.watching", "1 while the own watch works", () -> feed.watchHealthy() ? 1 : 0);
         metrics.gauge("whinwharf.targets.ejected", "Targets out of use after failures", targets::ejected);
-        new HttpEndpoint(loop, (method, uri) -> new HttpEndpoint.Answer(200, "text/plain", metrics.scrape()))
+        new HttpEndpoint(loop, (method, uri) -> new HttpEndpoint.Response(200, "text/plain", metrics.scrape()))
                 .bind(settings.ip(), settings.metricsPort())
                 .addListener(bound -> {
                     if (!bound.isSuccess()) {
-                        FrontLog.dutyFailed("metrics", bound.cause());
+                        FrontLog.taskFailed("metrics", bound.cause());
                     }
                 });
     }
 
-    private void every(String name, long millis, Runnable duty) {
-        loop.scheduleWithFixedDelay(() -> run(name, duty), millis, millis, TimeUnit.MILLISECONDS);
+    private void scheduleRepeatedly(String name, long millis, Runnable task) {
+        loop.scheduleWithFixedDelay(() -> runLogged(name, task), millis, millis, TimeUnit.MILLISECONDS);
     }
 
-    private static void run(String name, Runnable duty) {
+    private static void runLogged(String name, Runnable task) {
         try {
-            duty.run();
+            task.run();
         } catch (RuntimeException e) {
-            FrontLog.dutyFailed(name, e);
+            FrontLog.taskFailed(name, e);
         }
     }
 
     private void tickAndScheduleNext() {
-        run("requests", this::tick);
-        boolean someWait = coordination.someWait() || lines.size() > 0;
-        long pauseMillis = someWait ? TICK_MILLIS : CALM_TICK_MILLIS;
+        runLogged("requests", this::tick);
+        boolean queued = coordination.hasPendingRequests() || localQueues.size() > 0;
+        long pauseMillis = queued ? TICK_INTERVAL_MILLIS : IDLE_TICK_INTERVAL_MILLIS;
         loop.schedule(this::tickAndScheduleNext, pauseMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Begins a planned stop: takes no part in news of serving processes and ends once nothing is under way. */
+    /** Begins a planned stop: reports this process as leaving and stops it once no request is in flight. */
     @Override
     public void stop() {
         loop.execute(() -> {
@@ -246,61 +250,61 @@
     }
 
     /**
-     * Sets what is run when a planned stop is done.
+     * Sets the action to run when a planned stop is complete.
      *
-     * @param action run on the front's thread
+     * @param action action, run on the event loop
      */
-    public void whenEnded(Runnable action) {
-        whenEnded = action;
+    public void onStopped(Runnable action) {
+        onStopped = action;
     }
 
     /**
-     * Takes changed settings; addresses and names stay as they were at the start.
+     * Applies changed settings, except for addresses and names, which are read only at the start.
      *
-     * @param changed the settings
+     * @param changed new settings
      */
     public void reload(FrontSettings changed) {
-        boolean otherBudget = changed.retryRatio() != settings.retryRatio()
+        boolean budgetChanged = changed.retryRatio() != settings.retryRatio()
                 || changed.retryWindowMillis() != settings.retryWindowMillis();
         settings = changed;
-        if (otherBudget) {
+        if (budgetChanged) {
             retryBudgets.clear();
         }
         EventLog.event(LogEvent.SETTINGS_IN_FORCE).call();
     }
 
     /**
-     * Tells whether callers should be sent here.
+     * Tells whether callers should be sent to this process.
      *
-     * @return true when it serves
+     * @return true when it is serving
      */
     public boolean ready() {
         return phase == MemberPhase.MEMBER_SERVING;
     }
 
     /**
-     * Returns addresses that callers may connect to, this process's first.
+     * Returns addresses that callers may connect to, starting with the address of this process.
      *
-     * @param most how many callers take at most; in a larger fleet they are drawn
-     * @return IP numbers and ports
+     * @param limit maximum number of addresses; in a larger fleet they are chosen at random
+     * @return IP addresses and ports
      */
-    public List<String> callerAddresses(int most) {
-        return members.drawServing(ticker.nowMillis(), most, random).stream()
+    public List<String> callerAddresses(int limit) {
+        return members.sampleServing(ticker.nowMillis(), limit, random).stream()
                 .map(MemberReport::getCallerAddress)
                 .toList();
     }
 
     /**
-     * Takes a new catalog; an older version than the one in force changes nothing.
+     * Applies a published catalog, unless its version is not newer than the current one.
      *
-     * @param published the catalog
+     * @param published catalog
      */
     public void publish(Catalog published) {
         if (catalog.isPresent() && published.version() <= catalog.get().version()) {
             return;
         }
         catalog = Optional.of(published);
-        loop.execute(this::serveOnceKnown);
+        loop.execute(this::acceptOnceReady);
         quotas.update(published, ticker.nowMillis());
         EventLog.event(LogEvent.CATALOG_IN_FORCE)
                 .with(EventField.VERSION, published.version())
@@ -309,29 +313,29 @@
     }
 
     /**
-     * Takes a published target.
+     * Adds or updates a published target.
      *
-     * @param target the target
-     * @param duringService false while the first copy is read
+     * @param target published target
+     * @param afterInitialCopy false while the first copy of the published items is read
      */
-    public void publish(Target target, boolean duringService) {
-        targets.publish(target, duringService);
+    public void publish(Target target, boolean afterInitialCopy) {
+        targets.publish(target, afterInitialCopy);
     }
 
     /**
-     * Takes the removal of a target.
+     * Removes a target whose published entry was deleted.
      *
      * @param targetId id of the target
-     * @param goneAtMillis steady time from which it counts as gone
+     * @param goneAtMillis monotonic time in milliseconds from which the target counts as gone
      */
     public void removeTarget(String targetId, long goneAtMillis) {
         targets.remove(targetId, goneAtMillis);
     }
 
     /**
-     * Takes the data centres that must get nothing new.
+     * Sets the evacuated data centres, whose targets receive no new requests.
      *
-     * @param dataCentres names
+     * @param dataCentres names of all evacuated data centres
      */
     public void evacuate(Set<String> dataCentres) {
         EventLog.event(LogEvent.DATA_CENTRES_OUT)
@@ -341,21 +345,21 @@
         targets.evacuate(dataCentres);
     }
 
-    /** Accepts callers once the catalog is known, or after a while to tell them to come back. */
-    private void serveOnceKnown() {
-        boolean heldForLong = ticker.nowMillis() - startedAtMillis > HOLD_CALLERS_MILLIS;
-        if (!accepting && phase == MemberPhase.MEMBER_STARTING && (catalog.isPresent() || heldForLong)) {
-            accepting = true;
+    /** Accepts callers once the catalog is known, or after a time limit to answer them with a Retry-After delay. */
+    private void acceptOnceReady() {
+        boolean waitedTooLong = ticker.nowMillis() - startedAtMillis > CATALOG_WAIT_LIMIT_MILLIS;
+        if (!acceptStarted && phase == MemberPhase.MEMBER_STARTING && (catalog.isPresent() || waitedTooLong)) {
+            acceptStarted = true;
             callers.start(() -> {
-                accepted = true;
-                serve();
+                acceptingCallers = true;
+                becomeReady();
             });
         }
-        serve();
+        becomeReady();
     }
 
-    private void serve() {
-        if (phase == MemberPhase.MEMBER_STARTING && accepted && catalog.isPresent()) {
+    private void becomeReady() {
+        if (phase == MemberPhase.MEMBER_STARTING && acceptingCallers && catalog.isPresent()) {
             phase = MemberPhase.MEMBER_SERVING;
             phaseChanged();
             EventLog.event(LogEvent.READY)
@@ -365,21 +369,21 @@
     }
 
     private void gossipRound() {
-        news.report(phase);
-        gossip.round();
+        fleetState.updateLocalReport(phase);
+        gossip.runRound();
     }
 
     private void phaseChanged() {
-        news.report(phase);
-        gossip.urgentRound();
+        fleetState.updateLocalReport(phase);
+        gossip.runRoundNow();
     }
 
     private void tick() {
         long nowMillis = ticker.nowMillis();
-        news.countOthers(nowMillis);
+        fleetState.updateRemoteLoads(nowMillis);
         coordination.tick();
-        List.copyOf(exchanges).forEach(exchange -> exchange.tick(nowMillis));
-        lines.advance(nowMillis);
+        List.copyOf(exchanges).forEach(exchange -> exchange.checkTimeouts(nowMillis));
+        localQueues.advance(nowMillis);
         if (phase == MemberPhase.MEMBER_LEAVING) {
             drain(nowMillis);
         }
@@ -387,62 +391,64 @@
 
     private void sweep() {
         long nowMillis = ticker.nowMillis();
-        serveOnceKnown();
+        acceptOnceReady();
         feed.tick();
         targets.sweep();
-        List.copyOf(connections).forEach(connection -> connection.sweep(nowMillis));
-        members.forget(nowMillis)
+        List.copyOf(connections).forEach(connection -> connection.checkTimeouts(nowMillis));
+        members.expire(nowMillis)
                 .forEach(name -> EventLog.event(LogEvent.MEMBER_FORGOTTEN)
                         .with(EventField.PEER, name)
                         .call());
-        quotas.fleet(1 + members.alive(nowMillis).size());
-        quotas.reachableShare(members.reachableShare(nowMillis), nowMillis);
+        quotas.updateProcessCount(1 + members.alive(nowMillis).size());
+        quotas.updateReachableShare(members.reachableShare(nowMillis), nowMillis);
     }
 
     private void drain(long nowMillis) {
         long leftMillis = settings.stopGraceMillis() - (nowMillis - leavingAtMillis);
-        if (nowMillis - leavingAtMillis > LINGER_MILLIS) {
+        if (nowMillis - leavingAtMillis > LATE_CALLER_MILLIS) {
             callers.stop();
             List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
         }
-        boolean idle = exchanges.isEmpty() && connections.isEmpty() && nowMillis - leavingAtMillis > LINGER_MILLIS;
-        if (idle || leftMillis < END_MARGIN_MILLIS) {
+        boolean idle = exchanges.isEmpty() && connections.isEmpty() && nowMillis - leavingAtMillis > LATE_CALLER_MILLIS;
+        if (idle || leftMillis < STOP_MARGIN_MILLIS) {
             EventLog.event(idle ? LogEvent.DRAINED : LogEvent.DRAIN_TIMEOUT).call();
-            whenEnded.run();
+            onStopped.run();
         }
     }
 
     /**
-     * Where a coordinator shares out what cold targets bear, a process that chooses alone sends them nothing: two
-     * coordinators for a moment use up the whole already.
+     * Returns the number of requests that local placement may send to a cold target. In a coordinated service this is
+     * zero: for a short time two processes may both coordinate it, and together they use the whole capacity of a cold
+     * target.
      */
-    private int ownColdShare(Target target) {
-        return coordinated(target.service()) ? 0 : coldShares.allowance(target);
+    private int localColdAllowance(Target target) {
+        return isCoordinated(target.service()) ? 0 : coldShares.allowance(target);
     }
 
-    private Coordinator coordinator(Outbox decisions) {
-        Placement common = new Placement(prompts, this::coordinatorColdShare, () -> 0, settings.policy());
-        return new Coordinator(ImmutableCoordinatorParts.builder()
-                .ownName(settings.name())
-                .placement(common)
-                .prompts(prompts)
+    private Coordinator createCoordinator(DecisionListener decisions) {
+        TargetSelector selector =
+                new TargetSelector(prompts, this::coordinatorColdAllowance, () -> 0, settings.policy());
+        return new Coordinator(ImmutableCoordinatorDependencies.builder()
+                .localName(settings.name())
+                .targetSelector(selector)
+                .promptCache(prompts)
                 .targets(targets::ofService)
-                .evacuated(targets::evacuated)
+                .evacuatedDataCentres(targets::evacuated)
                 .quotas(quotas)
-                .outbox(decisions)
-                .reports(targets)
-                .loads(targets::underWay)
+                .decisionListener(decisions)
+                .targetOutcomeListener(targets)
+                .loadListener(targets::updateLoad)
                 .random(random::nextDouble)
                 .policy(settings.policy())
                 .build());
     }
 
-    /** Half of what a cold target bears: for a moment two processes may each take themselves for the coordinator. */
-    private int coordinatorColdShare(Target target) {
+    /** Returns half of the capacity of a cold target, since for a short time two processes may both coordinate. */
+    private int coordinatorColdAllowance(Target target) {
         return (int) Math.max(1, coldRate(target) / 2);
     }
 
-    private boolean coordinated(String service) {
+    private boolean isCoordinated(String service) {
         return catalog.flatMap(known -> known.service(service))
                 .map(TargetService::engine)
                 .orElse(false);
@@ -472,8 +478,8 @@
         return catalog;
     }
 
-    Knowledge knowledge() {
-        return new Knowledge(catalog.map(Catalog::version).orElse(0L), feed.ageMillis());
+    CatalogFreshness catalogFreshness() {
+        return new CatalogFreshness(catalog.map(Catalog::version).orElse(0L), feed.ageMillis());
     }
 
     CallerLimits limits() {
@@ -488,7 +494,7 @@
         return quotas;
     }
 
-    PromptCache prompts() {
+    PromptCacheIndex prompts() {
         return prompts;
     }
 
@@ -497,20 +503,20 @@
                 service, name -> new RetryBudget(settings.retryRatio(), settings.retryWindowMillis()));
     }
 
-    /** Returns this process's part of the fixed allowance of repeats. */
+    /** Returns this process's share of the fleet's fixed retry allowance. */
     double retryAllowance() {
         return settings.retryAllowance() / (members.all().size() + 2.0);
     }
 
-    OwnLines lines() {
-        return lines;
+    LocalQueues localQueues() {
+        return localQueues;
     }
 
-    Optional<Candidate> choose(Demand demand, long nowMillis) {
-        return placement.choose(demand, targets.ofService(demand.service()), targets.evacuated(), nowMillis);
+    Optional<Candidate> chooseLocally(Demand demand, long nowMillis) {
+        return placement.select(demand, targets.ofService(demand.service()), targets.evacuated(), nowMillis);
     }
 
-    /** Tells whether a target that was chosen a moment ago may still get a request. */
+    /** Tells whether a target that was just selected may still receive a request. */
     boolean mayReceive(TargetEntry entry) {
         return targets.mayReceive(entry);
     }
@@ -519,8 +525,8 @@
         return targets.entry(targetId);
     }
 
-    /** Tells whether another target of the service could take a request. */
-    boolean hasOther(String service, Set<String> tried) {
+    /** Tells whether a service has a usable target that is not in the given set. */
+    boolean hasUntriedTarget(String service, Set<String> tried) {
         long nowMillis = ticker.nowMillis();
         return targets.ofService(service).stream()
                 .anyMatch(state -> state.usable(nowMillis)
@@ -535,7 +541,7 @@
         return settings.dataCentre();
     }
 
-    Admission admission() {
+    AdmissionControl admission() {
         return admission;
     }
 
@@ -544,22 +550,22 @@
     }
 
     void targetFailed(TargetEntry entry, TargetFailure failure) {
-        targets.failed(entry, failure);
+        targets.recordFailure(entry, failure);
     }
 
     void targetAnsweredError(TargetEntry entry) {
-        targets.erred(entry);
+        targets.recordError(entry);
     }
 
     void targetAnswered(TargetEntry entry) {
-        entry.state().health().succeeded();
+        entry.state().health().recordSuccess();
     }
 
-    void exchangeBegan(Exchange exchange) {
+    void exchangeStarted(CallerExchange exchange) {
         exchanges.add(exchange);
     }
 
-    void exchangeEnded(Exchange exchange) {
+    void exchangeEnded(CallerExchange exchange) {
         exchanges.remove(exchange);
     }
 
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
@@ -5,11 +5,11 @@
 import org.whinwharf.runtime.log.EventLog;
 import org.whinwharf.runtime.log.LogEvent;
 import org.whinwharf.traffic.catalog.Organisation;
-import org.whinwharf.traffic.coordination.RefusalGrounds;
+import org.whinwharf.traffic.coordination.RejectionDetails;
 import org.whinwharf.traffic.placement.Candidate;
 import org.whinwharf.traffic.target.Target;
 
-/** Writes the log lines about requests and targets. */
+/** Writes log events about requests, targets, coordinators and peers. */
 final class FrontLog {
     private FrontLog() {}
 
@@ -20,86 +20,87 @@
                 .call();
     }
 
-    static void dutyFailed(String name, Throwable cause) {
+    static void taskFailed(String name, Throwable cause) {
         EventLog.event(LogEvent.DUTY_FAILED)
                 .with(EventField.NAME, name)
                 .with(EventField.REASON, String.valueOf(cause))
                 .call();
     }
 
-    static void sent(Exchange exchange, Target target, long waitedMillis, Candidate candidate) {
+    static void sent(CallerExchange exchange, Target target, long waitedMillis, Candidate candidate) {
         EventLog.event(LogEvent.REQUEST_SENT)
                 .with(EventField.REQUEST, exchange.head().attemptId())
                 .with(EventField.TARGET, target.id())
                 .with(EventField.TIER_RANK, exchange.tierRank())
-                .with(EventField.ANSWER_TOKENS, exchange.head().answerTokens())
+                .with(EventField.ANSWER_TOKENS, exchange.head().maxAnswerTokens())
                 .with(EventField.WAITED_MILLIS, waitedMillis)
                 .with(EventField.OCCUPANCY, Math.round(candidate.occupancy() * 100) / 100.0)
                 .with(EventField.PREFILL_TOKENS, candidate.uncachedTokens())
                 .with(EventField.PREDICTED_MILLIS, Math.round(candidate.firstEventMillis()))
-                .with(EventField.VERSION, exchange.knowledge().catalogVersion())
-                .with(EventField.AGE_MILLIS, exchange.knowledge().itemsAgeMillis())
+                .with(EventField.VERSION, exchange.catalogFreshness().catalogVersion())
+                .with(EventField.AGE_MILLIS, exchange.catalogFreshness().itemsAgeMillis())
                 .call();
     }
 
-    static void ended(Exchange exchange, TargetEntry entry, String reason, int status, long totalMillis) {
+    static void ended(CallerExchange exchange, TargetEntry entry, String reason, int status, long totalMillis) {
         endLine(exchange, entry, reason, status, totalMillis).call();
     }
 
-    /** Tells that a caller left; the kind of the line is why its connection closed. */
-    static void callerLeft(Exchange exchange, TargetEntry entry, String closeCause, long totalMillis) {
+    /** Logs that a caller disconnected; the event's kind is the cause of the close. */
+    static void callerLeft(CallerExchange exchange, TargetEntry entry, String closeCause, long totalMillis) {
         endLine(exchange, entry, "caller-left", 0, totalMillis)
                 .with(EventField.KIND, closeCause)
                 .call();
     }
 
-    private static EventLog endLine(Exchange exchange, TargetEntry entry, String reason, int status, long totalMillis) {
-        EventLog line = EventLog.event(LogEvent.REQUEST_ENDED)
+    private static EventLog endLine(
+            CallerExchange exchange, TargetEntry entry, String reason, int status, long totalMillis) {
+        EventLog event = EventLog.event(LogEvent.REQUEST_ENDED)
                 .with(EventField.REQUEST, exchange.head().attemptId())
                 .with(EventField.REASON, reason)
                 .with(EventField.STATUS, status)
                 .with(EventField.TOTAL_MILLIS, totalMillis);
         if (entry != null) {
-            line.with(EventField.TARGET, entry.state().target().id());
+            event.with(EventField.TARGET, entry.state().target().id());
         }
-        exchange.firstByteMillis().ifPresent(millis -> line.with(EventField.FIRST_BYTE_MILLIS, millis));
-        return line;
+        exchange.firstByteMillis().ifPresent(millis -> event.with(EventField.FIRST_BYTE_MILLIS, millis));
+        return event;
     }
 
-    static void refused(Exchange exchange, Refusal refusal) {
-        EventLog line = EventLog.event(LogEvent.REQUEST_REFUSED)
+    static void refused(CallerExchange exchange, ErrorResponse response) {
+        EventLog event = EventLog.event(LogEvent.REQUEST_REFUSED)
                 .with(EventField.SERVICE, exchange.service())
                 .with(EventField.TIER_RANK, exchange.tierRank())
-                .with(EventField.KIND, refusal.kind().wireName())
-                .with(EventField.RAN, refusal.kind().ran().wireName())
+                .with(EventField.KIND, response.kind().wireName())
+                .with(EventField.RAN, response.kind().ran().wireName())
                 .with(EventField.WAITED_MILLIS, exchange.ageMillis())
-                .with(EventField.COME_BACK_MILLIS, refusal.comeBackMillis())
-                .with(EventField.VERSION, exchange.knowledge().catalogVersion())
-                .with(EventField.AGE_MILLIS, exchange.knowledge().itemsAgeMillis());
+                .with(EventField.COME_BACK_MILLIS, response.retryAfterMillis())
+                .with(EventField.VERSION, exchange.catalogFreshness().catalogVersion())
+                .with(EventField.AGE_MILLIS, exchange.catalogFreshness().itemsAgeMillis());
         if (exchange.head() != null) {
-            line.with(EventField.REQUEST, exchange.head().attemptId());
+            event.with(EventField.REQUEST, exchange.head().attemptId());
         }
-        exchange.organisation().map(Organisation::name).ifPresent(name -> line.with(EventField.ORGANISATION, name));
-        if (refusal.kind() == ErrorKind.OVER_QUOTA) {
-            line.with(EventField.QUOTA_TOKENS, exchange.quotaTokens());
+        exchange.organisation().map(Organisation::name).ifPresent(name -> event.with(EventField.ORGANISATION, name));
+        if (response.kind() == ErrorKind.OVER_QUOTA) {
+            event.with(EventField.QUOTA_TOKENS, exchange.quotaTokens());
         }
-        refusal.grounds().ifPresent(grounds -> addGrounds(line, exchange, grounds));
-        line.call();
+        response.rejectionDetails().ifPresent(details -> addRejectionDetails(event, exchange, details));
+        event.call();
     }
 
-    /** Adds what the coordinator knew when it decided; its news of the line is its own and has no age. */
-    private static void addGrounds(EventLog line, Exchange exchange, RefusalGrounds grounds) {
-        line.with(EventField.PEER, exchange.coordinatorName());
-        if (grounds.quotaLevelTokens() != 0) {
-            line.with(EventField.QUOTA_LEVEL, grounds.quotaLevelTokens());
+    /** Adds the coordinator's reasons for its decision; they concern its own queue, so no age is logged with them. */
+    private static void addRejectionDetails(EventLog event, CallerExchange exchange, RejectionDetails details) {
+        event.with(EventField.PEER, exchange.coordinatorName());
+        if (details.quotaLevelTokens() != 0) {
+            event.with(EventField.QUOTA_LEVEL, details.quotaLevelTokens());
             return;
         }
-        line.with(EventField.AHEAD, grounds.ahead())
-                .with(EventField.PREDICTED_MILLIS, grounds.predictedMillis())
-                .with(EventField.STANDING_MILLIS, grounds.standingMillis());
+        event.with(EventField.AHEAD, details.queuedAhead())
+                .with(EventField.PREDICTED_MILLIS, details.estimatedWaitMillis())
+                .with(EventField.STANDING_MILLIS, details.backlogAgeMillis());
     }
 
-    static void repeated(Exchange exchange, Target target, String reason) {
+    static void retried(CallerExchange exchange, Target target, String reason) {
         EventLog.event(LogEvent.REQUEST_REPEATED)
                 .with(EventField.REQUEST, exchange.head().attemptId())
                 .with(EventField.TARGET, target.id())
@@ -107,7 +108,7 @@
                 .call();
     }
 
-    static void passedOver(PlacementTicket ticket, long silentMillis) {
+    static void coordinatorSilent(PlacementTicket ticket, long silentMillis) {
         EventLog.event(LogEvent.COORDINATOR_SILENT)
                 .with(EventField.PEER, ticket.coordinatorName())
                 .with(EventField.SERVICE, ticket.service())
@@ -115,8 +116,8 @@
                 .call();
     }
 
-    static void itemsQuestionFailed(
-            String peerIp, long heldRevision, QuestionOutcome outcome, long receivedBytes, long tookMillis) {
+    static void itemsRequestFailed(
+            String peerIp, long heldRevision, ItemsRequestOutcome outcome, long receivedBytes, long tookMillis) {
         EventLog.event(LogEvent.ITEMS_QUESTION_FAILED)
                 .with(EventField.PEER, peerIp)
                 .with(EventField.REVISION, heldRevision)
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontMetrics.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontMetrics.java
@@ -15,19 +15,19 @@
 
 /** Counters, gauges and latency histograms of one front process. */
 final class FrontMetrics {
-    /** Bounds of the histograms in milliseconds: the objectives in use lie between 100 and 800. */
-    private static final long[] BOUNDS_MILLIS = {10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 10_000};
+    /** Bucket bounds of the histograms in milliseconds; latency objectives are between 100 and 800 ms. */
+    private static final long[] BUCKET_BOUNDS_MILLIS = {10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 10_000};
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final Map<ErrorKind, Counter> failures = new EnumMap<>(ErrorKind.class);
-    private final Map<CutCause, Counter> cuts = new EnumMap<>(CutCause.class);
-    private final Map<QuestionOutcome, Counter> questions = new EnumMap<>(QuestionOutcome.class);
+    private final Map<TruncationCause, Counter> truncations = new EnumMap<>(TruncationCause.class);
+    private final Map<ItemsRequestOutcome, Counter> itemsRequests = new EnumMap<>(ItemsRequestOutcome.class);
     private final Map<RouteKind, Timer> firstBytes = new EnumMap<>(RouteKind.class);
-    private final Map<RouteKind, Timer> waits = new EnumMap<>(RouteKind.class);
+    private final Map<RouteKind, Timer> queueTimes = new EnumMap<>(RouteKind.class);
     private final Counter answered = Counter.builder("whinwharf.answers")
             .description("Answers of targets that were passed on")
             .register(registry);
-    private final Counter repeats = Counter.builder("whinwharf.repeats")
+    private final Counter retries = Counter.builder("whinwharf.repeats")
             .description("Requests sent to a further target")
             .register(registry);
     private final Counter ejections = Counter.builder("whinwharf.ejections")
@@ -38,7 +38,7 @@
             .baseUnit("bytes")
             .register(registry);
 
-    /** Registers a value that is read when metrics are asked for. */
+    /** Registers a gauge whose value is read at each scrape. */
     void gauge(String name, String description, Supplier<Number> value) {
         Gauge.builder(name, value).description(description).register(registry);
     }
@@ -47,15 +47,15 @@
         answered.increment();
     }
 
-    void repeated() {
-        repeats.increment();
+    void retried() {
+        retries.increment();
     }
 
     void ejected() {
         ejections.increment();
     }
 
-    /** Counts a request that ended with a failure of this process. */
+    /** Counts a request that ended with an error from this process rather than a target's response. */
     void failed(ErrorKind kind) {
         failures.computeIfAbsent(
                         kind,
@@ -67,9 +67,10 @@
                 .increment();
     }
 
-    /** Counts a stream that ended without its last event. */
-    void answerCut(CutCause cause) {
-        cuts.computeIfAbsent(
+    /** Counts a stream that ended before its last event. */
+    void streamTruncated(TruncationCause cause) {
+        truncations
+                .computeIfAbsent(
                         cause,
                         key -> counter(
                                 "whinwharf.answers.cut",
@@ -79,9 +80,9 @@
                 .increment();
     }
 
-    /** Counts a question for published items to a peer. */
-    void itemsAsked(QuestionOutcome outcome) {
-        questions
+    /** Counts a request to a peer for published items. */
+    void itemsRequested(ItemsRequestOutcome outcome) {
+        itemsRequests
                 .computeIfAbsent(
                         outcome,
                         key -> counter(
@@ -92,7 +93,7 @@
                 .increment();
     }
 
-    /** Counts bytes of an answer to such a question. */
+    /** Counts bytes received in a peer's answer with published items. */
     void itemsReceived(long bytes) {
         receivedItemBytes.increment(bytes);
     }
@@ -101,27 +102,28 @@
         return Counter.builder(name).description(description).tag(tag, value).register(registry);
     }
 
-    /** Takes the time from sending a request to the first byte of its answer. */
-    void firstByte(RouteKind kind, long millis) {
+    /** Records the time from sending a request to the first byte of its response. */
+    void recordFirstByte(RouteKind kind, long millis) {
         timer(firstBytes, kind, "whinwharf.first.byte", "Time from sending to the first byte")
                 .record(Duration.ofMillis(millis));
     }
 
-    /** Takes the time that a request waited here before it was sent. */
-    void waited(RouteKind kind, long millis) {
-        timer(waits, kind, "whinwharf.waiting", "Time a request waited here").record(Duration.ofMillis(millis));
+    /** Records the time for which a request was queued here before it was sent. */
+    void recordQueueTime(RouteKind kind, long millis) {
+        timer(queueTimes, kind, "whinwharf.waiting", "Time a request waited here")
+                .record(Duration.ofMillis(millis));
     }
 
-    /** Returns all values in Prometheus's text format. */
+    /** Returns all metrics in the Prometheus text format. */
     String scrape() {
         return registry.scrape();
     }
 
     private Timer timer(Map<RouteKind, Timer> timers, RouteKind kind, String name, String description) {
         return timers.computeIfAbsent(kind, key -> {
-            Duration[] bounds = new Duration[BOUNDS_MILLIS.length];
+            Duration[] bounds = new Duration[BUCKET_BOUNDS_MILLIS.length];
             for (int i = 0; i < bounds.length; i++) {
-                bounds[i] = Duration.ofMillis(BOUNDS_MILLIS[i]);
+                bounds[i] = Duration.ofMillis(BUCKET_BOUNDS_MILLIS[i]);
             }
             return Timer.builder(name)
                     .description(description)
