--- /dev/null
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/placement/TargetSelector.java
@@ -0,0 +1,192 @@
+package org.whinwharf.traffic.placement;
+
+import java.util.Collection;
+import java.util.Optional;
+import java.util.function.DoubleSupplier;
+import org.whinwharf.traffic.catalog.TierRank;
+import org.whinwharf.traffic.policy.Mechanism;
+import org.whinwharf.traffic.policy.Policy;
+import org.whinwharf.traffic.target.PromptCacheIndex;
+import org.whinwharf.traffic.target.TargetSpeed;
+import org.whinwharf.traffic.target.TargetState;
+
+/**
+ * Selects the target with the lowest predicted time to the first event.
+ *
+ * <p>Engines process requests in order of arrival, without regard to rank. A request is therefore sent only to a target
+ * that has a free slot as far as is known, and the lower its rank, the more slots must stay free for higher ranks. When
+ * a burst fills the fleet, the highest tier gets the last slots without any coordination between processes.
+ */
+public final class TargetSelector {
+    /**
+     * Maximum occupancy for requests of the highest tier. Reports of freed slots are a tenth of a second old. One
+     * request that waits at each target keeps the target busy in the meantime.
+     */
+    private static final double MAX_OCCUPANCY = 1.15;
+    /** Occupancy reserved for each rank above that of the request: about one slot in twelve. */
+    private static final double RESERVE_PER_RANK = 0.08;
+    /** Maximum number of ranks with a reserve, so that the lowest tier can always use most of the fleet. */
+    private static final int MAX_RESERVE_RANKS = 3;
+    /**
+     * Penalty for a target in another data centre: the round-trip time, and as much again because traffic between data
+     * centres is billed. It is a tenth of the shortest latency objective of a plain service.
+     */
+    private static final double CROSS_DATA_CENTRE_PENALTY_MILLIS = 10;
+
+    /**
+     * Weight of the time from the first event to the end of the answer. Long answers go to fast engines, where they
+     * hold a slot for less time, and short answers leave these engines free.
+     */
+    private static final double ANSWER_WEIGHT = 0.1;
+    /** Wait for a free slot at one of several fast targets; each request holds its slot for about a second. */
+    private static final double SLOT_WAIT_MILLIS = 50;
+    /** Share of the remaining time that a predicted answer may use, because predictions are off by a tenth. */
+    private static final double DEADLINE_SAFETY_SHARE = 0.85;
+
+    /** Speed assumed for a target without measurements. */
+    private static final TargetSpeed ASSUMED_SPEED = new TargetSpeed();
+
+    private final PromptCacheIndex promptCache;
+    private final ColdShares coldShares;
+    private final DoubleSupplier jitter;
+    private final Policy policy;
+
+    /**
+     * Creates a selector with all mechanisms enabled.
+     *
+     * @param promptCache record of the targets that have read each prompt
+     * @param coldShares share of this process in the requests to cold targets
+     * @param jitter random fraction by which the score of an engine is increased, drawn for each engine; without it,
+     *     processes that select independently would all pick the fastest engine at once
+     */
+    public TargetSelector(PromptCacheIndex promptCache, ColdShares coldShares, DoubleSupplier jitter) {
+        this(promptCache, coldShares, jitter, Policy.ALL_ENABLED);
+    }
+
+    /**
+     * Creates a selector with a given policy.
+     *
+     * @param promptCache record of the targets that have read each prompt
+     * @param coldShares share of this process in the requests to cold targets
+     * @param jitter random fraction by which the score of an engine is increased, drawn for each engine
+     * @param policy enabled mechanisms
+     */
+    public TargetSelector(PromptCacheIndex promptCache, ColdShares coldShares, DoubleSupplier jitter, Policy policy) {
+        this.promptCache = promptCache;
+        this.coldShares = coldShares;
+        this.jitter = jitter;
+        this.policy = policy;
+    }
+
+    /**
+     * Selects the best target for a request.
+     *
+     * @param demand requirements of the request
+     * @param targets all targets of the service
+     * @param evacuatedDataCentres data centres that must not receive new requests
+     * @param nowMillis monotonic time in milliseconds
+     * @return target; empty if no target accepts the request now
+     */
+    public Optional<Candidate> select(
+            Demand demand, Collection<TargetState> targets, Collection<String> evacuatedDataCentres, long nowMillis) {
+        double maxOccupancy = maxOccupancy(demand.tierRank());
+        Candidate best = null;
+        for (TargetState state : targets) {
+            if (!eligible(state, demand, evacuatedDataCentres, nowMillis)) {
+                continue;
+            }
+            double occupancy = state.occupancy();
+            if (occupancy + 1.0 / state.target().slots() > maxOccupancy + 1e-9 && occupancy > 0) {
+                continue;
+            }
+            int allowance = 0;
+            if (state.cold(nowMillis)) {
+                allowance = coldShares.allowance(state.target());
+                if (allowance == 0 || !state.coldStartLimiter().hasCapacity(nowMillis, allowance)) {
+                    continue;
+                }
+            }
+            Candidate candidate = score(state, demand, occupancy, allowance, nowMillis);
+            if (best == null || candidate.scoreMillis() < best.scoreMillis()) {
+                best = candidate;
+            }
+        }
+        return Optional.ofNullable(best);
+    }
+
+    private double maxOccupancy(int tierRank) {
+        double full = policy.isEnabled(Mechanism.BEYOND_SLOTS) ? MAX_OCCUPANCY : 1;
+        int reserves = Math.min(TierRank.routeRank(tierRank), MAX_RESERVE_RANKS);
+        return policy.isEnabled(Mechanism.RESERVE_BY_RANK) ? full - RESERVE_PER_RANK * reserves : full;
+    }
+
+    private long uncachedTokens(Demand demand, TargetState state, long nowMillis) {
+        return policy.isEnabled(Mechanism.PROMPT_MEMORY)
+                ? promptCache.uncachedTokens(
+                        demand.promptParts(),
+                        demand.promptTokens(),
+                        state.target().id(),
+                        nowMillis)
+                : demand.promptTokens();
+    }
+
+    private TargetSpeed speed(TargetState state) {
+        return policy.isEnabled(Mechanism.LEARNED_SPEED) ? state.speed() : ASSUMED_SPEED;
+    }
+
+    /**
+     * Tells whether any target, even a full one, is predicted to deliver the first event in time once a slot is free.
+     *
+     * @param demand requirements of the request
+     * @param targets all targets of the service
+     * @param evacuatedDataCentres data centres that must not receive new requests
+     * @param withinMillis maximum time to the first event
+     * @param nowMillis monotonic time in milliseconds
+     * @return true if the request should wait for such a target
+     */
+    public boolean anyTargetWithin(
+            Demand demand,
+            Collection<TargetState> targets,
+            Collection<String> evacuatedDataCentres,
+            long withinMillis,
+            long nowMillis) {
+        return targets.stream()
+                .filter(state -> eligible(state, demand, evacuatedDataCentres, nowMillis) && !state.cold(nowMillis))
+                .anyMatch(state -> firstEventMillisOnceFree(state, demand, nowMillis) <= withinMillis);
+    }
+
+    private double firstEventMillisOnceFree(TargetState state, Demand demand, long nowMillis) {
+        return speed(state).estimatedFirstEventMillis(uncachedTokens(demand, state, nowMillis), 1) + SLOT_WAIT_MILLIS;
+    }
+
+    private boolean eligible(
+            TargetState state, Demand demand, Collection<String> evacuatedDataCentres, long nowMillis) {
+        return state.usable(nowMillis)
+                && state.health().admits(nowMillis)
+                && !evacuatedDataCentres.contains(state.target().dataCentre())
+                && !demand.triedTargets().contains(state.target().id())
+                && (demand.model().isEmpty()
+                        || state.target().models().isEmpty()
+                        || state.target().models().contains(demand.model()));
+    }
+
+    private Candidate score(TargetState state, Demand demand, double occupancy, int allowance, long nowMillis) {
+        double penaltyMillis =
+                demand.dataCentre().equals(state.target().dataCentre()) ? 0 : CROSS_DATA_CENTRE_PENALTY_MILLIS;
+        long uncachedTokens = uncachedTokens(demand, state, nowMillis);
+        long tokensAhead = uncachedTokens + state.pendingPrefillTokens();
+        double predictedMillis = speed(state).estimatedFirstEventMillis(tokensAhead, occupancy) + penaltyMillis;
+        double answerMillis = speed(state).estimatedAnswerMillis(demand.maxAnswerTokens());
+        double scoreMillis = predictedMillis;
+        if (policy.isEnabled(Mechanism.ANSWER_LENGTH)) {
+            scoreMillis += answerMillis * ANSWER_WEIGHT;
+        }
+        if (policy.isEnabled(Mechanism.DEADLINE_FIT)) {
+            scoreMillis +=
+                    Math.max(0, predictedMillis + answerMillis - demand.remainingMillis() * DEADLINE_SAFETY_SHARE);
+        }
+        double jitterFactor = demand.promptTokens() > 0 ? 1 + jitter.getAsDouble() : 1;
+        return new Candidate(
+                state, uncachedTokens, tokensAhead, occupancy, predictedMillis, scoreMillis * jitterFactor, allowance);
+    }
+}
--- a/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/retry/RetryBudget.java
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/retry/RetryBudget.java
@@ -4,26 +4,26 @@
 import java.util.Deque;
 
 /**
- * Bounds the requests that this process sends a second time.
+ * Limits the retries of this process.
  *
- * <p>When a service fails, repeats multiply its load just then. The bound over the whole fleet is a share of the
- * requests plus a fixed allowance. Each process keeps to that share of its own requests and to its part of the
- * allowance, so the sum holds without any word between processes.
+ * <p>When a service fails, retries multiply its load at the worst time. The fleet-wide limit is a ratio of the requests
+ * plus a fixed allowance. Each process applies the ratio to its own requests and uses its part of the allowance, so the
+ * limit holds without communication between processes.
  */
 public final class RetryBudget {
-    /** Part of the allowed share that is used; the rest is slack for requests that ended elsewhere in the window. */
-    private static final double USED_SHARE = 0.7;
+    /** Part of the allowed ratio that is used; the rest is slack for requests that ended elsewhere in the window. */
+    private static final double RATIO_UTILISATION = 0.7;
 
     private final double ratio;
     private final long windowMillis;
     private final Deque<Long> requestsAtMillis = new ArrayDeque<>();
-    private final Deque<Long> repeatsAtMillis = new ArrayDeque<>();
+    private final Deque<Long> retriesAtMillis = new ArrayDeque<>();
 
     /**
      * Creates a budget.
      *
-     * @param ratio repeats for each request, over the whole fleet
-     * @param windowMillis window in which both are counted
+     * @param ratio maximum retries per request, over the whole fleet
+     * @param windowMillis window in milliseconds over which requests and retries are counted
      */
     public RetryBudget(double ratio, long windowMillis) {
         this.ratio = ratio;
@@ -31,28 +31,28 @@
     }
 
     /**
-     * Notes a caller's request.
+     * Records a caller's request.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      */
-    public void request(long nowMillis) {
+    public void recordRequest(long nowMillis) {
         requestsAtMillis.addLast(nowMillis);
         expire(nowMillis);
     }
 
     /**
-     * Takes one repeat from the budget.
+     * Takes one retry from the budget.
      *
-     * @param nowMillis steady time in milliseconds
+     * @param nowMillis monotonic time in milliseconds
      * @param allowance this process's part of the fixed allowance
-     * @return true when the repeat may be sent
+     * @return true when the retry may be sent
      */
-    public boolean tryRepeat(long nowMillis, double allowance) {
+    public boolean tryRetry(long nowMillis, double allowance) {
         expire(nowMillis);
-        if (repeatsAtMillis.size() + 1 > requestsAtMillis.size() * ratio * USED_SHARE + allowance) {
+        if (retriesAtMillis.size() + 1 > requestsAtMillis.size() * ratio * RATIO_UTILISATION + allowance) {
             return false;
         }
-        repeatsAtMillis.addLast(nowMillis);
+        retriesAtMillis.addLast(nowMillis);
         return true;
     }
 
@@ -61,8 +61,8 @@
         while (!requestsAtMillis.isEmpty() && requestsAtMillis.peekFirst() < oldestMillis) {
             requestsAtMillis.removeFirst();
         }
-        while (!repeatsAtMillis.isEmpty() && repeatsAtMillis.peekFirst() < oldestMillis) {
-            repeatsAtMillis.removeFirst();
+        while (!retriesAtMillis.isEmpty() && retriesAtMillis.peekFirst() < oldestMillis) {
+            retriesAtMillis.removeFirst();
         }
     }
 }
--- /dev/null
+++ b/org.whinwharf.traffic/src/main/java/org/whinwharf/traffic/waiting/QueuedRequest.java
@@ -0,0 +1,55 @@
+package org.whinwharf.traffic.waiting;
+
+/** A request that is queued until a target accepts it. */
+public interface QueuedRequest {
+    /**
+     * Returns the rank of the request.
+     *
+     * @return rank; 0 is served first
+     */
+    int tierRank();
+
+    /**
+     * Returns the time at which the request is rejected if it is still queued.
+     *
+     * @return monotonic time in milliseconds
+     */
+    long queueTimeoutAtMillis();
+
+    /**
+     * Returns the earlier time at which the request is rejected if the queue has a backlog.
+     *
+     * @return monotonic time in milliseconds
+     */
+    long backlogTimeoutAtMillis();
+
+    /**
+     * Returns the time until which the request can still meet its latency objective.
+     *
+     * @return monotonic time in milliseconds
+     */
+    long onTimeUntilMillis();
+
+    /**
+     * Returns the model that the request requires. Requests of one rank that require the same model usually either all
+     * find a target or all find none.
+     *
+     * @return name of the model; empty if any target is suitable
+     */
+    String requiredModel();
+
+    /**
+     * Tries to dispatch the request.
+     *
+     * @param nowMillis monotonic time in milliseconds
+     * @return result of the attempt
+     */
+    DispatchResult tryDispatch(long nowMillis);
+
+    /**
+     * Rejects the request because its queue timeout has expired or the queue is full.
+     *
+     * @param nowMillis monotonic time in milliseconds
+     */
+    void reject(long nowMillis);
+}
