--- a/org.whinwharf.bench/src/main/java/org/whinwharf/bench/capacity/SchedulerLoad.java
+++ b/org.whinwharf.bench/src/main/java/org/whinwharf/bench/capacity/SchedulerLoad.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.Action;
-import org.whinwharf.owner.Event;
-import org.whinwharf.owner.HomeId;
-import org.whinwharf.owner.Rules;
+import org.whinwharf.owner.ProcessId;
+import org.whinwharf.owner.SchedulerAction;
+import org.whinwharf.owner.SchedulerConfiguration;
 import org.whinwharf.owner.SchedulerCore;
-import org.whinwharf.owner.placement.Placement;
+import org.whinwharf.owner.SchedulerEvent;
+import org.whinwharf.owner.placement.PlacementStrategy;
 import org.whinwharf.wire.message.Enqueue;
 import org.whinwharf.wire.message.FinishKind;
 import org.whinwharf.wire.message.Finished;
@@ -53,12 +53,12 @@
         this.size = size;
         this.membership = membership;
         this.host = host;
-        core = new SchedulerCore(new HomeId(host, 1), Placement.SCORE, 0);
+        core = new SchedulerCore(new ProcessId(host, 1), PlacementStrategy.SCORE, 0);
         owned = membership.slices().stream()
                 .filter(slice ->
                         membership.wouldBeOwner(slice).orElseThrow().getName().equals(host))
                 .toList();
-        step(new Event.Viewed(membership, Rules.of(size.document())));
+        step(new SchedulerEvent.ConfigurationChanged(membership, SchedulerConfiguration.of(size.document())));
     }
 
     /** Finds the host that owns most slices. */
@@ -126,7 +126,7 @@
         long endMillis = nowMillis + millis;
         while (nowMillis < endMillis) {
             nowMillis += STEP_MILLIS;
-            step(new Event.Tick());
+            step(new SchedulerEvent.Tick());
             if (nowMillis % LOAD_POLL_MILLIS < STEP_MILLIS) {
                 readLoads();
             }
@@ -140,14 +140,14 @@
     }
 
     private void readLoads() {
-        Set<String> targets = new TreeSet<>(core.targetsToRead());
+        Set<String> targets = new TreeSet<>(core.targetsToPoll());
         for (String target : targets) {
             TargetLoad load = TargetLoad.newBuilder()
                     .setStartNumber(1)
                     .setRunning(inFlight.getOrDefault(target, 0))
                     .setWarm(true)
                     .build();
-            step(new Event.LoadRead(target, load, nowMillis));
+            step(new SchedulerEvent.LoadReceived(target, load, nowMillis));
         }
     }
 
@@ -190,26 +190,26 @@
         fromEntry(home(requests), Frame.newBuilder().setEnqueue(enqueue).build());
     }
 
-    private HomeId home(long request) {
-        return new HomeId("entry-" + request % Math.min(HOMES, size.hosts()), 1);
+    private ProcessId home(long request) {
+        return new ProcessId("entry-" + request % Math.min(HOMES, size.hosts()), 1);
     }
 
-    private void fromEntry(HomeId home, Frame frame) {
+    private void fromEntry(ProcessId home, Frame frame) {
         bytesIn += frame.getSerializedSize();
         framesIn++;
-        step(new Event.FromEntry(home, frame));
+        step(new SchedulerEvent.EntryFrame(home, frame));
     }
 
-    private void step(Event event) {
-        for (Action action : core.handle(event, nowMillis)) {
-            if (action instanceof Action.ToEntry toEntry) {
+    private void step(SchedulerEvent event) {
+        for (SchedulerAction action : core.handle(event, nowMillis)) {
+            if (action instanceof SchedulerAction.SendToEntry toEntry) {
                 countOut(toEntry.frame());
                 if (toEntry.frame().hasGrant()) {
                     accept(toEntry.home(), toEntry.frame().getGrant());
                 } else if (toEntry.frame().hasRefusal()) {
                     refused++;
                 }
-            } else if (action instanceof Action.ToPeer toPeer) {
+            } else if (action instanceof SchedulerAction.SendToPeer toPeer) {
                 countOut(toPeer.frame());
                 if (toPeer.frame().hasPledgeRequest()) {
                     pledge(toPeer.host(), toPeer.frame().getPledgeRequest());
@@ -218,7 +218,7 @@
         }
     }
 
-    private void accept(HomeId home, Grant grant) {
+    private void accept(ProcessId home, Grant grant) {
         granted++;
         inFlight.merge(grant.getTarget(), 1, Integer::sum);
         running.add(new Running(home, grant, nowMillis + SERVICE_MILLIS));
@@ -236,7 +236,7 @@
         Frame frame = Frame.newBuilder().setPledge(pledge).build();
         bytesIn += frame.getSerializedSize();
         framesIn++;
-        step(new Event.FromPeer(new HomeId(voter, 1), frame));
+        step(new SchedulerEvent.PeerFrame(new ProcessId(voter, 1), frame));
     }
 
     private void countOut(Frame frame) {
@@ -244,5 +244,5 @@
         framesOut++;
     }
 
-    private record Running(HomeId home, Grant grant, long endsAtMillis) {}
+    private record Running(ProcessId home, Grant grant, long endsAtMillis) {}
 }
--- a/org.whinwharf.bench/src/main/java/org/whinwharf/bench/ownership/OwnershipMeasure.java
+++ b/org.whinwharf.bench/src/main/java/org/whinwharf/bench/ownership/OwnershipMeasure.java
@@ -48,8 +48,10 @@
     // Without pledges each side's list decides; once the lists of both sides lack the other's hosts, both own the
     // whole.
     private static void split(Ownership ownership, int limit, int voters, int smaller) {
-        int more = ownership.rule() == null ? limit : new Share(voters - smaller, voters).of(limit, ownership.rule());
-        int less = ownership.rule() == null ? limit : new Share(smaller, voters).of(limit, ownership.rule());
+        int more = ownership.rule() == null
+                ? limit
+                : new Share(voters - smaller, voters).usableSlots(limit, ownership.rule());
+        int less = ownership.rule() == null ? limit : new Share(smaller, voters).usableSlots(limit, ownership.rule());
         System.out.printf("| %s | %d | %d | %d | %d |%n", ownership.label(), limit, more, less, more + less);
     }
 
--- a/org.whinwharf.bench/src/main/java/org/whinwharf/bench/ownership/SliceRun.java
+++ b/org.whinwharf.bench/src/main/java/org/whinwharf/bench/ownership/SliceRun.java
@@ -4,10 +4,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.HomeId;
+import org.whinwharf.owner.ProcessId;
 import org.whinwharf.owner.Timings;
-import org.whinwharf.owner.pledge.PledgeBook;
-import org.whinwharf.owner.pledge.Views;
+import org.whinwharf.owner.pledge.HeldPledges;
+import org.whinwharf.owner.pledge.MembershipViews;
 import org.whinwharf.owner.pledge.Voter;
 import org.whinwharf.wire.message.Pledge;
 import org.whinwharf.wire.message.PledgeRequest;
@@ -106,17 +106,17 @@
 
     /** What one host does when it is first by the list. */
     private final class Owner {
-        private final HomeId id;
-        private final Views views = new Views();
-        private final PledgeBook book;
+        private final ProcessId id;
+        private final MembershipViews views = new MembershipViews();
+        private final HeldPledges book;
         private long listedAt;
         private long firstSinceMillis = Long.MIN_VALUE;
         private long askedAtMillis = -ASK_MILLIS;
         private long measuredAtMillis;
 
         Owner(String name) {
-            id = new HomeId(name, 1);
-            book = ownership.rule() == null ? null : new PledgeBook(SLICE, views, ownership.rule());
+            id = new ProcessId(name, 1);
+            book = ownership.rule() == null ? null : new HeldPledges(SLICE, views, ownership.rule());
         }
 
         void listed() {
@@ -142,9 +142,9 @@
                 return 0;
             }
             if (book != null) {
-                return book.usable(limit, measuredAtMillis, nowMillis);
+                return book.usableSlots(limit, measuredAtMillis, nowMillis);
             }
-            long waitMillis = TIMINGS.longest(TIMINGS.listLagMillis()) + TIMINGS.grantRunOutMillis();
+            long waitMillis = TIMINGS.upperBoundMillis(TIMINGS.listLagMillis()) + TIMINGS.grantExpiryMillis();
             return measuredAtMillis >= firstSinceMillis + waitMillis ? limit : 0;
         }
 
@@ -158,7 +158,7 @@
                     .build();
             Pledge pledge = voters.get(voter).answer(id, request, membership, TIMINGS, nowMillis);
             if (pledge.getSlicesCount() > 0) {
-                book.pledged(
+                book.add(
                         voter,
                         pledge.getEchoMillis(),
                         pledge.getGoodMillis(),
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/SchedulerDaemon.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/SchedulerDaemon.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 import org.whinwharf.document.DocumentView;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.Rules;
-import org.whinwharf.owner.placement.Placement;
+import org.whinwharf.owner.SchedulerConfiguration;
+import org.whinwharf.owner.placement.PlacementStrategy;
 import org.whinwharf.runtime.command.Daemon;
 import org.whinwharf.runtime.duty.Duty;
 import org.whinwharf.runtime.duty.DutyHandler;
@@ -47,7 +47,7 @@
                 .status(status -> status.addAllSlices(states()))
                 .call();
         poller = new LoadPoller(settings.getLoadPollMillis(), node.ticker(), this::offer);
-        Placement placement = Placement.named(settings.getPlacement());
+        PlacementStrategy placement = PlacementStrategy.fromSetting(settings.getPlacement());
         loop = new SchedulerLoop(node, links, poller, new SchedulerMetrics(node.registry()), placement);
         decisions = Duty.<Consumer<SchedulerLoop>>builder()
                 .name("decisions")
@@ -102,13 +102,14 @@
     private final class Changes implements NodeListener {
         @Override
         public void documentChanged(DocumentView document) {
-            Rules rules = Rules.of(document.services(), document.tiers(), document.timing());
-            offer(each -> each.ruled(rules));
+            SchedulerConfiguration rules =
+                    SchedulerConfiguration.of(document.services(), document.tiers(), document.timing());
+            offer(each -> each.documentChanged(rules));
         }
 
         @Override
         public void membershipChanged(Membership membership) {
-            offer(each -> each.listed(membership));
+            offer(each -> each.membershipChanged(membership));
         }
     }
 }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/LoadPoller.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/LoadPoller.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import org.whinwharf.lifecycle.Service;
-import org.whinwharf.owner.Event;
-import org.whinwharf.owner.Rules;
+import org.whinwharf.owner.SchedulerConfiguration;
+import org.whinwharf.owner.SchedulerEvent;
 import org.whinwharf.runtime.duty.Duty;
 import org.whinwharf.runtime.duty.DutyHandler;
 import org.whinwharf.time.Ticker;
@@ -75,7 +75,7 @@
      *
      * @param targets targets by name
      */
-    public void read(Map<String, Target> targets) {
+    public void updateTargets(Map<String, Target> targets) {
         duty.offer(Map.copyOf(targets));
     }
 
@@ -95,18 +95,18 @@
                 target.baseUrl() + "/v1/load",
                 body -> {
                     TargetLoad load = parse(body, TargetLoad.newBuilder()).build();
-                    ring.offer(loop -> loop.run(new Event.LoadRead(name, load, askedAtMillis)));
+                    ring.offer(loop -> loop.handle(new SchedulerEvent.LoadReceived(name, load, askedAtMillis)));
                 },
-                () -> ring.offer(loop -> loop.run(new Event.LoadFailed(name))));
+                () -> ring.offer(loop -> loop.handle(new SchedulerEvent.LoadRequestFailed(name))));
     }
 
     private void readCache(String name, Target target) {
         get(
                 name + "/cache",
-                target.baseUrl() + "/v1/cache-events?after=" + target.lastCacheEvent(),
+                target.baseUrl() + "/v1/cache-events?after=" + target.lastCacheEventNumber(),
                 body -> {
                     CacheEvents events = parse(body, CacheEvents.newBuilder()).build();
-                    ring.offer(loop -> loop.run(new Event.CacheRead(name, events)));
+                    ring.offer(loop -> loop.handle(new SchedulerEvent.CacheEventsReceived(name, events)));
                 },
                 () -> {
                     // What was learned before stays good enough; the next reading asks for the same events again.
@@ -119,7 +119,7 @@
             return;
         }
         client.exchange(HttpRequest.GET(url), byte[].class)
-                .subscribe(new OneAnswer<>(
+                .subscribe(new SingleResponse<>(
                         response -> {
                             asked.remove(key);
                             accept(response, answered, failed);
@@ -153,10 +153,10 @@
      *
      * @param baseUrl base URL, by IP number
      * @param hasCache true for a model engine
-     * @param lastCacheEvent number of the last cache event seen
+     * @param lastCacheEventNumber number of the last cache event seen
      */
-    public record Target(String baseUrl, boolean hasCache, long lastCacheEvent) {
-        static Target of(Host host, Rules rules, long lastCacheEvent) {
+    public record Target(String baseUrl, boolean hasCache, long lastCacheEventNumber) {
+        static Target of(Host host, SchedulerConfiguration rules, long lastCacheEvent) {
             String url = "http://" + host.getAddress() + ":" + host.getTarget().getPort();
             ServiceKind kind = rules.service(host.getTarget().getService()).getKind();
             return new Target(url, kind == ServiceKind.ENGINE, lastCacheEvent);
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLinks.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLinks.java
@@ -8,7 +8,7 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Consumer;
-import org.whinwharf.owner.HomeId;
+import org.whinwharf.owner.ProcessId;
 import org.whinwharf.wire.message.Frame;
 import org.whinwharf.wire.message.Hello;
 import org.whinwharf.wire.message.Role;
@@ -24,8 +24,8 @@
 public final class SchedulerLinks implements PeerListener {
     private final EventRing ring;
     private final Queue<PeerLink> unheardLosses = new ConcurrentLinkedQueue<>();
-    private final Map<HomeId, List<PeerLink>> entries = new HashMap<>();
-    private final Map<HomeId, List<PeerLink>> schedulers = new HashMap<>();
+    private final Map<ProcessId, List<PeerLink>> entries = new HashMap<>();
+    private final Map<ProcessId, List<PeerLink>> schedulers = new HashMap<>();
 
     /**
      * Creates the links.
@@ -63,7 +63,7 @@
         }
     }
 
-    Optional<PeerLink> nextUnheardLoss() {
+    Optional<PeerLink> pollPendingLinkLoss() {
         return Optional.ofNullable(unheardLosses.poll());
     }
 
@@ -90,7 +90,7 @@
     /**
      * Sends to an entry process; a link that cannot take the frame is closed, since a lost grant would hold its slot.
      */
-    void toEntry(HomeId home, Frame frame) {
+    void toEntry(ProcessId home, Frame frame) {
         List<PeerLink> links = entries.getOrDefault(home, List.of());
         if (!links.isEmpty() && !links.get(links.size() - 1).send(frame)) {
             links.get(links.size() - 1).close("too slow for grants");
@@ -106,12 +106,12 @@
         });
     }
 
-    static HomeId id(PeerLink link) {
+    static ProcessId id(PeerLink link) {
         Hello hello = link.peer();
-        return new HomeId(hello.getHost(), hello.getIncarnation());
+        return new ProcessId(hello.getHost(), hello.getIncarnation());
     }
 
-    private Map<HomeId, List<PeerLink>> of(Hello hello) {
+    private Map<ProcessId, List<PeerLink>> of(Hello hello) {
         return hello.getRole() == Role.ENTRY ? entries : schedulers;
     }
 }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLog.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLog.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.whinwharf.owner.HomeId;
+import org.whinwharf.owner.ProcessId;
 import org.whinwharf.runtime.log.EventField;
 import org.whinwharf.runtime.log.EventLog;
 import org.whinwharf.runtime.log.LogEvent;
@@ -17,7 +17,7 @@
 final class SchedulerLog {
     private final Map<String, Integer> floors = new HashMap<>();
 
-    void sent(HomeId home, Frame frame) {
+    void sent(ProcessId home, Frame frame) {
         if (frame.hasRefusal()) {
             Refusal refusal = frame.getRefusal();
             EventLog.event(LogEvent.SHED)
@@ -50,7 +50,7 @@
     }
 
     /** Logs what differs between two surveys. */
-    void changed(List<SliceState> before, List<SliceState> after) {
+    void logChanges(List<SliceState> before, List<SliceState> after) {
         Map<String, SliceState> old = new HashMap<>();
         before.forEach(state -> old.put(name(state), state));
         for (SliceState state : after) {
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLoop.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLoop.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.Action;
-import org.whinwharf.owner.Event;
-import org.whinwharf.owner.HomeId;
-import org.whinwharf.owner.Rules;
+import org.whinwharf.owner.ProcessId;
+import org.whinwharf.owner.SchedulerAction;
+import org.whinwharf.owner.SchedulerConfiguration;
 import org.whinwharf.owner.SchedulerCore;
-import org.whinwharf.owner.placement.Placement;
+import org.whinwharf.owner.SchedulerEvent;
+import org.whinwharf.owner.placement.PlacementStrategy;
 import org.whinwharf.runtime.node.Node;
 import org.whinwharf.time.Ticker;
 import org.whinwharf.wire.message.Frame;
@@ -36,7 +36,7 @@
     private final SchedulerLog log = new SchedulerLog();
     private final SchedulerCore core;
     private final Set<PeerAddress> connected = new HashSet<>();
-    private Rules rules;
+    private SchedulerConfiguration rules;
     private Membership membership;
     private CompletableFuture<Void> handedOver;
     private long surveyedAtMillis;
@@ -52,14 +52,14 @@
      * @param placement how targets are chosen
      */
     public SchedulerLoop(
-            Node node, SchedulerLinks links, LoadPoller poller, SchedulerMetrics metrics, Placement placement) {
+            Node node, SchedulerLinks links, LoadPoller poller, SchedulerMetrics metrics, PlacementStrategy placement) {
         this.node = node;
         this.ticker = node.ticker();
         this.links = links;
         this.poller = poller;
         this.metrics = metrics;
         this.spans = new SchedulerSpans(node);
-        HomeId self = new HomeId(node.settings().getHost(), node.incarnation());
+        ProcessId self = new ProcessId(node.settings().getHost(), node.incarnation());
         this.core = new SchedulerCore(self, placement, ticker.nowMillis());
     }
 
@@ -77,7 +77,7 @@
      *
      * @param newRules what it says
      */
-    public void ruled(Rules newRules) {
+    public void documentChanged(SchedulerConfiguration newRules) {
         rules = newRules;
         view();
     }
@@ -87,7 +87,7 @@
      *
      * @param newMembership the view
      */
-    public void listed(Membership newMembership) {
+    public void membershipChanged(Membership newMembership) {
         membership = newMembership;
         view();
     }
@@ -99,27 +99,29 @@
      */
     public void leave(CompletableFuture<Void> whenHandedOver) {
         handedOver = whenHandedOver;
-        run(new Event.Leave());
+        handle(new SchedulerEvent.Leave());
     }
 
     /** Lets time pass. */
     public void tick() {
-        for (Optional<PeerLink> lost = links.nextUnheardLoss(); lost.isPresent(); lost = links.nextUnheardLoss()) {
+        for (Optional<PeerLink> lost = links.pollPendingLinkLoss();
+                lost.isPresent();
+                lost = links.pollPendingLinkLoss()) {
             linkDown(lost.get());
         }
-        run(new Event.Tick());
+        handle(new SchedulerEvent.Tick());
         if (ticker.nowMillis() - surveyedAtMillis >= SURVEY_MILLIS) {
             surveyedAtMillis = ticker.nowMillis();
             survey();
         }
-        if (handedOver != null && core.hasHandedOver(ticker.nowMillis())) {
+        if (handedOver != null && core.isHandoverComplete(ticker.nowMillis())) {
             handedOver.complete(null);
         }
     }
 
     void linkUp(PeerLink link) {
         if (links.add(link) && link.peer().getRole() == Role.SCHEDULER) {
-            run(new Event.PeerUp(SchedulerLinks.id(link)));
+            handle(new SchedulerEvent.PeerConnected(SchedulerLinks.id(link)));
         }
     }
 
@@ -127,46 +129,46 @@
         if (!links.remove(link)) {
             return;
         }
-        HomeId id = SchedulerLinks.id(link);
+        ProcessId id = SchedulerLinks.id(link);
         if (link.peer().getRole() == Role.SCHEDULER) {
-            run(new Event.PeerLost(id));
+            handle(new SchedulerEvent.PeerDisconnected(id));
         } else if (link.peer().getRole() == Role.ENTRY) {
             spans.lost(id);
-            run(new Event.EntryLost(id));
+            handle(new SchedulerEvent.EntryDisconnected(id));
         }
     }
 
     void received(PeerLink link, Frame frame) {
-        HomeId id = SchedulerLinks.id(link);
+        ProcessId id = SchedulerLinks.id(link);
         if (link.peer().getRole() == Role.SCHEDULER) {
-            run(new Event.FromPeer(id, frame));
+            handle(new SchedulerEvent.PeerFrame(id, frame));
         } else if (link.peer().getRole() == Role.ENTRY) {
             spans.received(id, frame);
-            run(new Event.FromEntry(id, frame));
+            handle(new SchedulerEvent.EntryFrame(id, frame));
         }
     }
 
-    void run(Event event) {
-        for (Action action : core.handle(event, ticker.nowMillis())) {
+    void handle(SchedulerEvent event) {
+        for (SchedulerAction action : core.handle(event, ticker.nowMillis())) {
             act(action);
         }
     }
 
-    private void act(Action action) {
-        if (action instanceof Action.ToEntry send) {
+    private void act(SchedulerAction action) {
+        if (action instanceof SchedulerAction.SendToEntry send) {
             log.sent(send.home(), send.frame());
-            links.toEntry(send.home(), spans.sending(send.home(), send.frame()));
-        } else if (action instanceof Action.ToPeer send) {
+            links.toEntry(send.home(), spans.endOnSend(send.home(), send.frame()));
+        } else if (action instanceof SchedulerAction.SendToPeer send) {
             log.sent(send.host(), send.frame());
             links.toScheduler(send.host(), send.frame());
-        } else if (action instanceof Action.Counted counted) {
-            metrics.count(counted.measure(), counted.label());
+        } else if (action instanceof SchedulerAction.IncrementCounter counted) {
+            metrics.increment(counted.counter(), counted.label());
         }
     }
 
     private void view() {
         if (rules != null && membership != null) {
-            run(new Event.Viewed(membership, rules));
+            handle(new SchedulerEvent.ConfigurationChanged(membership, rules));
             survey();
         }
     }
@@ -176,10 +178,10 @@
             return;
         }
         long nowMillis = ticker.nowMillis();
-        connect(core.peersNeeded(nowMillis));
-        poller.read(targets());
+        connect(core.requiredPeers(nowMillis));
+        poller.updateTargets(targets());
         List<SliceState> now = core.states(nowMillis);
-        log.changed(states, now);
+        log.logChanges(states, now);
         states = now;
         metrics.update(now);
     }
@@ -212,11 +214,12 @@
 
     private Map<String, LoadPoller.Target> targets() {
         Map<String, LoadPoller.Target> targets = new HashMap<>();
-        for (String name : core.targetsToRead()) {
+        for (String name : core.targetsToPoll()) {
             membership
                     .host(name)
                     .filter(Host::hasTarget)
-                    .ifPresent(host -> targets.put(name, LoadPoller.Target.of(host, rules, core.lastCacheEvent(name))));
+                    .ifPresent(host ->
+                            targets.put(name, LoadPoller.Target.of(host, rules, core.lastCacheEventNumber(name))));
         }
         return targets;
     }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerMetrics.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerMetrics.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import org.whinwharf.owner.Measure;
+import org.whinwharf.owner.SchedulerCounter;
 import org.whinwharf.wire.status.SliceState;
 import org.whinwharf.wire.status.TargetState;
 import org.whinwharf.wire.status.TierQueue;
@@ -38,7 +38,7 @@
         inFlight = gauge("target.in.flight", "Granted requests that have not ended, by target");
     }
 
-    void count(Measure measure, String label) {
+    void increment(SchedulerCounter measure, String label) {
         counters.computeIfAbsent(measure + "/" + label, key -> newCounter(measure, label))
                 .increment();
     }
@@ -73,7 +73,7 @@
         inFlight.register(inFlightRows, true);
     }
 
-    private Counter newCounter(Measure measure, String label) {
+    private Counter newCounter(SchedulerCounter measure, String label) {
         String name = measure.name().toLowerCase(Locale.ROOT).replace('_', '.');
         return Counter.builder(PREFIX + name).tag("label", label).register(registry);
     }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerSpans.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerSpans.java
@@ -5,7 +5,7 @@
 import io.opentelemetry.api.trace.Tracer;
 import java.util.HashMap;
 import java.util.Map;
-import org.whinwharf.owner.HomeId;
+import org.whinwharf.owner.ProcessId;
 import org.whinwharf.runtime.node.Node;
 import org.whinwharf.runtime.trace.TraceParent;
 import org.whinwharf.wire.message.Frame;
@@ -22,7 +22,7 @@
         this.node = node;
     }
 
-    void received(HomeId home, Frame frame) {
+    void received(ProcessId home, Frame frame) {
         if (frame.hasEnqueue() && !frame.getTraceParent().isEmpty() && waiting.size() < MOST) {
             Span span = tracer().spanBuilder("schedule")
                     .setParent(TraceParent.context(frame.getTraceParent()))
@@ -39,7 +39,7 @@
     }
 
     /** Ends the span of a request that is granted or refused; its identity goes with the answer. */
-    Frame sending(HomeId home, Frame frame) {
+    Frame endOnSend(ProcessId home, Frame frame) {
         if (frame.hasGrant()) {
             Key key = new Key(home, frame.getGrant().getRequest());
             return with(frame, end(key, "granted " + frame.getGrant().getTarget()));
@@ -51,7 +51,7 @@
         return frame;
     }
 
-    void lost(HomeId home) {
+    void lost(ProcessId home) {
         waiting.entrySet().removeIf(entry -> {
             boolean lost = entry.getKey().home().equals(home);
             if (lost) {
@@ -83,5 +83,5 @@
         return tracer;
     }
 
-    private record Key(HomeId home, long request) {}
+    private record Key(ProcessId home, long request) {}
 }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/OneAnswer.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SingleResponse.java
@@ -9,12 +9,12 @@
  *
  * @param <T> type of the answer
  */
-final class OneAnswer<T> implements Subscriber<T> {
+final class SingleResponse<T> implements Subscriber<T> {
     private final Consumer<T> answered;
     private final Runnable failed;
     private boolean done;
 
-    OneAnswer(Consumer<T> answered, Runnable failed) {
+    SingleResponse(Consumer<T> answered, Runnable failed) {
         this.answered = answered;
         this.failed = failed;
     }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/Fixtures.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/Fixtures.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.List;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.queue.Waiting;
+import org.whinwharf.owner.queue.WaitingRequest;
 import org.whinwharf.wire.message.SliceId;
 import org.whinwharf.wire.schema.DataCentre;
 import org.whinwharf.wire.schema.Document;
@@ -26,9 +26,9 @@
 
     private Fixtures() {}
 
-    static Waiting waiting(long request, int rank, String organisation, int answerTokens, long arrivedAtMillis) {
-        return new Waiting(
-                new HomeId("h0", 1),
+    static WaitingRequest waiting(long request, int rank, String organisation, int answerTokens, long arrivedAtMillis) {
+        return new WaitingRequest(
+                new ProcessId("h0", 1),
                 request,
                 rank,
                 organisation,
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/FleetModel.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/FleetModel.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.placement.Placement;
+import org.whinwharf.owner.placement.PlacementStrategy;
 import org.whinwharf.wire.message.Enqueue;
 import org.whinwharf.wire.message.FinishKind;
 import org.whinwharf.wire.message.Finished;
@@ -120,7 +120,7 @@
     }
 
     void leave(int scheduler) {
-        schedulers.get(scheduler).event(new Event.Leave());
+        schedulers.get(scheduler).event(new SchedulerEvent.Leave());
         at(nowMillis + DOWN_MILLIS, () -> schedulers.get(scheduler).restart());
     }
 
@@ -166,7 +166,7 @@
         at(atMillis, action);
     }
 
-    private Home home(HomeId id) {
+    private Home home(ProcessId id) {
         return homes.stream().filter(home -> home.id.equals(id)).findFirst().orElse(null);
     }
 
@@ -181,14 +181,14 @@
     /** A process with a clock of its own that can be frozen. */
     private abstract class Process {
         final String name;
-        HomeId id;
+        ProcessId id;
         long frozenUntilMillis;
         private final long offsetMillis = random.nextInt(100_000);
         private final int ratePpm = random.nextInt(1000) - 500;
 
         Process(String name) {
             this.name = name;
-            this.id = new HomeId(name, 1);
+            this.id = new ProcessId(name, 1);
         }
 
         long clock() {
@@ -196,7 +196,7 @@
         }
 
         void awake(Runnable action) {
-            HomeId then = id;
+            ProcessId then = id;
             if (nowMillis < frozenUntilMillis) {
                 at(frozenUntilMillis + random.nextInt(5), () -> awake(action));
             } else if (then.equals(id)) {
@@ -211,18 +211,18 @@
 
         Node(String name) {
             super(name);
-            core = new SchedulerCore(id, Placement.SCORE, clock());
+            core = new SchedulerCore(id, PlacementStrategy.SCORE, clock());
             at(random.nextInt((int) TICK_MILLIS), this::tick);
             at(random.nextInt((int) POLL_MILLIS), this::poll);
             at(0, this::linkAll);
         }
 
         void restart() {
-            id = new HomeId(name, id.incarnation() + 1);
+            id = new ProcessId(name, id.incarnation() + 1);
             frozenUntilMillis = 0;
-            core = new SchedulerCore(id, Placement.SCORE, clock());
+            core = new SchedulerCore(id, PlacementStrategy.SCORE, clock());
             if (membership != null) {
-                event(new Event.Viewed(membership, Rules.of(document)));
+                event(new SchedulerEvent.ConfigurationChanged(membership, SchedulerConfiguration.of(document)));
             }
             linkAll();
         }
@@ -231,7 +231,7 @@
             awake(() -> {
                 if (membership == null || newer.revision() > membership.revision()) {
                     membership = newer;
-                    event(new Event.Viewed(newer, Rules.of(document)));
+                    event(new SchedulerEvent.ConfigurationChanged(newer, SchedulerConfiguration.of(document)));
                 }
             });
         }
@@ -239,17 +239,17 @@
         void link(List<String> ends, boolean up) {
             String other = ends.get(0).equals(name) ? ends.get(1) : ends.get(0);
             schedulers.stream().filter(node -> node.name.equals(other)).forEach(node -> {
-                event(up ? new Event.PeerUp(node.id) : new Event.PeerLost(node.id));
+                event(up ? new SchedulerEvent.PeerConnected(node.id) : new SchedulerEvent.PeerDisconnected(node.id));
             });
             if (!up) {
                 homes.stream()
                         .filter(home -> home.name.equals(other))
-                        .forEach(home -> event(new Event.EntryLost(home.id)));
+                        .forEach(home -> event(new SchedulerEvent.EntryDisconnected(home.id)));
             }
         }
 
-        void event(Event event) {
-            HomeId to = id;
+        void event(SchedulerEvent event) {
+            ProcessId to = id;
             awake(() -> {
                 if (to.equals(id)) {
                     core.handle(event, clock()).forEach(this::act);
@@ -258,11 +258,13 @@
         }
 
         private void linkAll() {
-            schedulers.stream().filter(node -> node != this).forEach(node -> event(new Event.PeerUp(node.id)));
+            schedulers.stream()
+                    .filter(node -> node != this)
+                    .forEach(node -> event(new SchedulerEvent.PeerConnected(node.id)));
         }
 
         private void tick() {
-            event(new Event.Tick());
+            event(new SchedulerEvent.Tick());
             at(nowMillis + TICK_MILLIS, this::tick);
         }
 
@@ -271,8 +273,8 @@
                 long askedAtMillis = clock();
                 event(
                         model.isDown()
-                                ? new Event.LoadFailed(target)
-                                : new Event.LoadRead(
+                                ? new SchedulerEvent.LoadRequestFailed(target)
+                                : new SchedulerEvent.LoadReceived(
                                         target,
                                         model.load(random.nextInt((int) Fixtures.TIMINGS.loadLagMillis()), nowMillis),
                                         askedAtMillis));
@@ -280,14 +282,14 @@
             at(nowMillis + POLL_MILLIS, this::poll);
         }
 
-        private void act(Action action) {
-            if (action instanceof Action.ToPeer send) {
-                HomeId from = id;
+        private void act(SchedulerAction action) {
+            if (action instanceof SchedulerAction.SendToPeer send) {
+                ProcessId from = id;
                 schedulers.stream()
                         .filter(node -> node.name.equals(send.host()))
-                        .forEach(node ->
-                                deliver(name, node.name, () -> node.event(new Event.FromPeer(from, send.frame()))));
-            } else if (action instanceof Action.ToEntry send && home(send.home()) != null) {
+                        .forEach(node -> deliver(
+                                name, node.name, () -> node.event(new SchedulerEvent.PeerFrame(from, send.frame()))));
+            } else if (action instanceof SchedulerAction.SendToEntry send && home(send.home()) != null) {
                 Home home = home(send.home());
                 deliver(name, home.name, () -> home.awake(() -> home.received(this, send.frame())));
             }
@@ -306,10 +308,10 @@
 
         /** Dies with its requests; what it had sent goes on at the targets. */
         void lose() {
-            HomeId old = id;
-            id = new HomeId(name, old.incarnation() + 1);
+            ProcessId old = id;
+            id = new ProcessId(name, old.incarnation() + 1);
             inFlight.clear();
-            schedulers.forEach(node -> node.event(new Event.EntryLost(old)));
+            schedulers.forEach(node -> node.event(new SchedulerEvent.EntryDisconnected(old)));
         }
 
         private void beat() {
@@ -344,7 +346,7 @@
                 case GRANT -> {
                     // Some homes use a grant only just before it runs out.
                     long laterMillis = random.nextInt(3) == 0 ? random.nextInt(600) : 0;
-                    HomeId then = id;
+                    ProcessId then = id;
                     at(
                             nowMillis + laterMillis,
                             () -> awake(() -> {
@@ -361,7 +363,7 @@
         }
 
         private void refused(Refusal refusal) {
-            HomeId then = id;
+            ProcessId then = id;
             at(
                     nowMillis + 100,
                     () -> awake(() -> {
@@ -376,7 +378,7 @@
                 finished(from, grant, FinishKind.UNUSED, 0);
                 return;
             }
-            HomeId then = id;
+            ProcessId then = id;
             long sentAtMillis = nowMillis;
             ModelTarget target = targets.get(grant.getTarget());
             Runnable failed = () -> {
@@ -413,12 +415,12 @@
         }
 
         private void send(Node to, Frame.Builder frame) {
-            HomeId from = id;
-            HomeId receiver = to.id;
+            ProcessId from = id;
+            ProcessId receiver = to.id;
             Frame built = frame.build();
             deliver(name, to.name, () -> {
                 if (receiver.equals(to.id)) {
-                    to.event(new Event.FromEntry(from, built));
+                    to.event(new SchedulerEvent.EntryFrame(from, built));
                 }
             });
         }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/QueueOrderTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/QueueOrderTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.whinwharf.owner.queue.SliceQueue;
-import org.whinwharf.owner.queue.Waiting;
+import org.whinwharf.owner.queue.WaitingRequest;
 
 class QueueOrderTest {
     private final SliceQueue queue = new SliceQueue();
@@ -28,7 +28,7 @@
         for (long request = 2; request <= 101; request++) {
             queue.add(Fixtures.waiting(request, 0, "o", 20, request));
         }
-        List<Waiting> served = serve(101);
+        List<WaitingRequest> served = serve(101);
         assertThat(served.get(100).request(), is(1L));
     }
 
@@ -54,7 +54,7 @@
         }
         queue.add(Fixtures.waiting(60, 2, "above", 300, 60));
         queue.add(Fixtures.waiting(61, 0, "below", 700, 61));
-        Waiting shortOne = Fixtures.waiting(70, 1, "short", 20, 70);
+        WaitingRequest shortOne = Fixtures.waiting(70, 1, "short", 20, 70);
         long others = Math.max(shortOne.cost(), 0);
         assertThat(queue.costBefore(shortOne), is(queue.costAhead(2) + others));
     }
@@ -67,7 +67,7 @@
         }
         double longCost = 0;
         double shortCost = 0;
-        for (Waiting waiting : serve(220)) {
+        for (WaitingRequest waiting : serve(220)) {
             if (waiting.organisation().equals("long")) {
                 longCost += waiting.cost();
             } else {
@@ -98,20 +98,20 @@
         queue.add(Fixtures.waiting(2, 0, "o", 10, 0));
         queue.add(Fixtures.waiting(3, 2, "o", 10, 0));
         assertThat(queue.victim().orElseThrow().request(), is(2L));
-        assertThat(ids(queue.below(2)), is(List.of(1L, 2L)));
+        assertThat(ids(queue.belowRank(2)), is(List.of(1L, 2L)));
     }
 
-    private List<Waiting> serve(int count) {
-        List<Waiting> served = new ArrayList<>();
+    private List<WaitingRequest> serve(int count) {
+        List<WaitingRequest> served = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Waiting next = queue.next(any -> true).orElseThrow();
-            queue.granted(next);
+            WaitingRequest next = queue.next(any -> true).orElseThrow();
+            queue.removeGranted(next);
             served.add(next);
         }
         return served;
     }
 
-    private static List<Long> ids(List<Waiting> waiting) {
-        return waiting.stream().map(Waiting::request).toList();
+    private static List<Long> ids(List<WaitingRequest> waiting) {
+        return waiting.stream().map(WaitingRequest::request).toList();
     }
 }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/SchedulerCoreTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/SchedulerCoreTest.java
@@ -16,7 +16,7 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.whinwharf.owner.placement.Placement;
+import org.whinwharf.owner.placement.PlacementStrategy;
 import org.whinwharf.wire.message.Enqueue;
 import org.whinwharf.wire.message.FinishKind;
 import org.whinwharf.wire.message.Finished;
@@ -31,13 +31,13 @@
 import org.whinwharf.wire.schema.TargetLoad;
 
 class SchedulerCoreTest {
-    private static final HomeId HOME = new HomeId("h0", 7);
-    private static final HomeId PEER = new HomeId("b0", 9);
+    private static final ProcessId HOME = new ProcessId("h0", 7);
+    private static final ProcessId PEER = new ProcessId("b0", 9);
     private static final int MAX_WAITING = 4;
     private static final long TICK_MILLIS = 50;
 
-    private final SchedulerCore core = new SchedulerCore(new HomeId("s0", 5), Placement.SCORE, 0);
-    private final List<Action> actions = new ArrayList<>();
+    private final SchedulerCore core = new SchedulerCore(new ProcessId("s0", 5), PlacementStrategy.SCORE, 0);
+    private final List<SchedulerAction> actions = new ArrayList<>();
     private final Set<Grant> given = new LinkedHashSet<>();
     private Document document = Fixtures.document(4, MAX_WAITING);
     private List<String> hosts = List.of("s0");
@@ -54,7 +54,7 @@
 
     @Test
     void grantCarriesTheHomesClockAndRunsOut() {
-        on(new Event.FromEntry(
+        on(new SchedulerEvent.EntryFrame(
                 HOME,
                 Frame.newBuilder()
                         .setHeartbeat(Heartbeat.newBuilder().setSentAtMillis(123_456))
@@ -87,7 +87,7 @@
     void slotOfALostHomeIsKeptUntilAReadingShowsItFree() {
         enqueue(1, 0);
         running = 1;
-        on(new Event.EntryLost(HOME));
+        on(new SchedulerEvent.EntryDisconnected(HOME));
         pass(3_000);
         enqueue(2, 0);
         assertThat(grants(), hasSize(1));
@@ -224,17 +224,17 @@
         hosts = List.of("s0", "b0");
         targets = List.of("t0", "b-t1");
         view();
-        on(new Event.PeerUp(PEER));
+        on(new SchedulerEvent.PeerConnected(PEER));
         pass(8_000);
         actions.clear();
         for (long request = 1; request <= MAX_WAITING + 2; request++) {
             enqueue(request, 2);
         }
         FloorRaise raise = actions.stream()
-                .filter(action -> action instanceof Action.ToPeer send
+                .filter(action -> action instanceof SchedulerAction.SendToPeer send
                         && send.host().equals("b0")
                         && send.frame().hasFloorRaise())
-                .map(action -> ((Action.ToPeer) action).frame().getFloorRaise())
+                .map(action -> ((SchedulerAction.SendToPeer) action).frame().getFloorRaise())
                 .findFirst()
                 .orElseThrow();
         assertThat(raise.getRank(), is(2));
@@ -248,7 +248,7 @@
         pass(3_000);
         assertThat(
                 actions.stream()
-                        .anyMatch(action -> action instanceof Action.ToPeer send
+                        .anyMatch(action -> action instanceof SchedulerAction.SendToPeer send
                                 && send.frame().hasFloorLower()),
                 is(false));
     }
@@ -269,7 +269,7 @@
         assertThat(refused(), hasSize(2));
         assertThat(
                 actions.stream()
-                        .anyMatch(action -> action instanceof Action.ToPeer send
+                        .anyMatch(action -> action instanceof SchedulerAction.SendToPeer send
                                 && send.frame().hasFloorCleared()),
                 is(true));
         enqueue(5, 1);
@@ -286,12 +286,12 @@
     void plannedStopRefusesWhatWaitsAndReleasesPledgesOnceNoGrantIsUnused() {
         enqueue(1, 0);
         enqueue(2, 0);
-        on(new Event.Leave());
+        on(new SchedulerEvent.Leave());
         assertThat(refusals(2), hasItem(RefusalReason.OWNER_LEAVING));
         assertThat(sent(Frame::hasRecall), hasSize(1));
-        assertThat(core.hasHandedOver(nowMillis), is(false));
+        assertThat(core.isHandoverComplete(nowMillis), is(false));
         finishUnused(1);
-        assertThat(core.hasHandedOver(nowMillis), is(true));
+        assertThat(core.isHandoverComplete(nowMillis), is(true));
     }
 
     // The process sleeps for longer than its pledges last; another owner has taken over when it wakes.
@@ -324,7 +324,7 @@
         pass(7_000);
         pass(7_000);
         assertThat(pledgesAsked(), is(true));
-        on(new Event.PeerUp(new HomeId(first, 1)));
+        on(new SchedulerEvent.PeerConnected(new ProcessId(first, 1)));
         enqueue(2, 0);
         assertThat(refusals(2), contains(RefusalReason.NOT_OWNER));
     }
@@ -333,8 +333,8 @@
         actions.clear();
         pass(1_000);
         return actions.stream()
-                .anyMatch(action ->
-                        action instanceof Action.ToPeer send && send.frame().hasPledgeRequest());
+                .anyMatch(action -> action instanceof SchedulerAction.SendToPeer send
+                        && send.frame().hasPledgeRequest());
     }
 
     private void growTo(int limit) {
@@ -350,10 +350,11 @@
     }
 
     private void view() {
-        on(new Event.Viewed(Fixtures.membership(++revision, document, hosts, targets), Rules.of(document)));
+        on(new SchedulerEvent.ConfigurationChanged(
+                Fixtures.membership(++revision, document, hosts, targets), SchedulerConfiguration.of(document)));
     }
 
-    private void on(Event event) {
+    private void on(SchedulerEvent event) {
         actions.addAll(core.handle(event, nowMillis));
         given.addAll(grants());
     }
@@ -362,7 +363,7 @@
         for (long untilMillis = nowMillis + millis; nowMillis < untilMillis; ) {
             nowMillis += TICK_MILLIS;
             load(1);
-            on(new Event.Tick());
+            on(new SchedulerEvent.Tick());
         }
     }
 
@@ -371,7 +372,7 @@
                 .setStartNumber(startNumber)
                 .setRunning(running)
                 .build();
-        targets.forEach(target -> on(new Event.LoadRead(target, load, nowMillis)));
+        targets.forEach(target -> on(new SchedulerEvent.LoadReceived(target, load, nowMillis)));
     }
 
     private void readQueued(int running, int queued) {
@@ -380,7 +381,7 @@
                 .setRunning(running)
                 .setQueued(queued)
                 .build();
-        targets.forEach(target -> on(new Event.LoadRead(target, load, nowMillis)));
+        targets.forEach(target -> on(new SchedulerEvent.LoadReceived(target, load, nowMillis)));
     }
 
     private void enqueue(long request, int rank) {
@@ -393,7 +394,8 @@
 
     private void enqueue(Enqueue.Builder enqueue) {
         enqueue.setSlice(Fixtures.SLICE).setOrganisation("o").setWeight(1);
-        on(new Event.FromEntry(HOME, Frame.newBuilder().setEnqueue(enqueue).build()));
+        on(new SchedulerEvent.EntryFrame(
+                HOME, Frame.newBuilder().setEnqueue(enqueue).build()));
     }
 
     private void finishUnused(long request) {
@@ -417,8 +419,8 @@
                 .setAnswerTokens(20)));
     }
 
-    private static Event finishedEvent(Finished.Builder finished) {
-        return new Event.FromEntry(
+    private static SchedulerEvent finishedEvent(Finished.Builder finished) {
+        return new SchedulerEvent.EntryFrame(
                 HOME,
                 Frame.newBuilder()
                         .setFinished(finished.setSlice(Fixtures.SLICE))
@@ -426,7 +428,7 @@
     }
 
     private void fromPeer(Frame.Builder frame) {
-        on(new Event.FromPeer(PEER, frame.build()));
+        on(new SchedulerEvent.PeerFrame(PEER, frame.build()));
     }
 
     private List<Grant> grants() {
@@ -453,8 +455,8 @@
 
     private List<Frame> sent(Predicate<Frame> kind) {
         return actions.stream()
-                .filter(Action.ToEntry.class::isInstance)
-                .map(action -> ((Action.ToEntry) action).frame())
+                .filter(SchedulerAction.SendToEntry.class::isInstance)
+                .map(action -> ((SchedulerAction.SendToEntry) action).frame())
                 .filter(kind)
                 .toList();
     }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/limit/ConcurrencyLimitTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/limit/ConcurrencyLimitTest.java
@@ -35,7 +35,7 @@
     @Test
     void fallsToWhatTheTargetRunsWhenRequestsWaitThere() {
         complete(15, 100, true);
-        limit.queued(4);
+        limit.onQueued(4);
         assertThat(limit.value(), is(4));
         complete(4, 100, true);
         assertThat(limit.value(), is(5));
@@ -44,7 +44,7 @@
     @Test
     void halvesOnARefusal() {
         complete(15, 100, true);
-        limit.refused();
+        limit.onRefused();
         assertThat(limit.value(), is(8));
     }
 
@@ -65,7 +65,7 @@
 
     private void complete(int times, long totalMillis, boolean wasFull) {
         for (int i = 0; i < times; i++) {
-            limit.completed(new Sample(10, totalMillis, 0, 0, 20), wasFull);
+            limit.onCompleted(new CompletionSample(10, totalMillis, 0, 0, 20), wasFull);
         }
     }
 }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/placement/PlacementTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/placement/PlacementStrategyTest.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import org.whinwharf.owner.HomeId;
-import org.whinwharf.owner.limit.Sample;
+import org.whinwharf.owner.ProcessId;
+import org.whinwharf.owner.limit.CompletionSample;
 import org.whinwharf.owner.limit.TargetAccount;
-import org.whinwharf.owner.queue.Waiting;
+import org.whinwharf.owner.queue.WaitingRequest;
 import org.whinwharf.wire.schema.CacheEvent;
 import org.whinwharf.wire.schema.CacheEvents;
 import org.whinwharf.wire.schema.Limits;
 
-class PlacementTest {
+class PlacementStrategyTest {
     private static final int PREFIXES = 8;
 
     private final TargetAccount one = account("one");
@@ -33,48 +33,51 @@
     void promptGoesWhereItsPrefixIsCachedUnlessTheAnswerIsLong() {
         learn(one, 12);
         learn(other, 10);
-        one.prefixes().served(prefixes());
-        assertThat(score(waiting(PREFIXES * PrefixDigests.BLOCK_TOKENS, 10)), is("one"));
-        assertThat(score(waiting(PREFIXES * PrefixDigests.BLOCK_TOKENS, 5000)), is("other"));
+        one.prefixes().addServed(prefixes());
+        assertThat(score(waiting(PREFIXES * CachedPrefixes.BLOCK_TOKENS, 10)), is("one"));
+        assertThat(score(waiting(PREFIXES * CachedPrefixes.BLOCK_TOKENS, 5000)), is("other"));
     }
 
     // The target's events arrive late and with gaps: the prompt was just served there, but its "stored" events are
     // lost.
     @Test
     void servedPromptCountsAsCachedWithoutItsEventsAndDroppedBlocksDoNot() {
-        PrefixDigests digests = one.prefixes();
-        digests.served(prefixes());
-        digests.read(CacheEvents.newBuilder()
+        CachedPrefixes digests = one.prefixes();
+        digests.addServed(prefixes());
+        digests.applyEvents(CacheEvents.newBuilder()
                 .addEvents(CacheEvent.newBuilder().setNumber(900).setDigest("not hexadecimal"))
                 .addEvents(CacheEvent.newBuilder().setNumber(907).setDigest(String.format("%016x", 3)))
                 .build());
-        assertThat(digests.lastNumber(), is(907L));
-        int prompt = PREFIXES * PrefixDigests.BLOCK_TOKENS;
-        assertThat(digests.missingTokens(prefixes(), prompt), is(prompt - 2 * PrefixDigests.BLOCK_TOKENS));
+        assertThat(digests.lastEventNumber(), is(907L));
+        int prompt = PREFIXES * CachedPrefixes.BLOCK_TOKENS;
+        assertThat(digests.uncachedTokens(prefixes(), prompt), is(prompt - 2 * CachedPrefixes.BLOCK_TOKENS));
     }
 
     @Test
     void targetThatStartedAnewHasNothingCached() {
-        PrefixDigests digests = one.prefixes();
-        digests.served(prefixes());
-        digests.read(CacheEvents.newBuilder().setStartNumber(2).build());
-        assertThat(digests.missingTokens(prefixes(), 100), is(100));
+        CachedPrefixes digests = one.prefixes();
+        digests.addServed(prefixes());
+        digests.applyEvents(CacheEvents.newBuilder().setStartNumber(2).build());
+        assertThat(digests.uncachedTokens(prefixes(), 100), is(100));
     }
 
-    private String score(Waiting waiting) {
+    private String score(WaitingRequest waiting) {
         List<Candidate> candidates = new ArrayList<>(List.of(new Candidate(one, 1), new Candidate(other, 1)));
-        return Placement.SCORE.choose(candidates, waiting, state).account().name();
+        return PlacementStrategy.SCORE
+                .choose(candidates, waiting, state)
+                .account()
+                .name();
     }
 
     private static void learn(TargetAccount account, int millisPerToken) {
         for (int i = 0; i < 5; i++) {
-            account.speed().completed(new Sample(200, 200 + 99L * millisPerToken, 400, 400, 100), 0);
+            account.speed().addSample(new CompletionSample(200, 200 + 99L * millisPerToken, 400, 400, 100), 0);
         }
     }
 
-    private static Waiting waiting(int promptTokens, int answerTokens) {
-        return new Waiting(
-                new HomeId("h0", 1), 1, 0, "o", 1, "", promptTokens, answerTokens, prefixes(), Long.MAX_VALUE, 0);
+    private static WaitingRequest waiting(int promptTokens, int answerTokens) {
+        return new WaitingRequest(
+                new ProcessId("h0", 1), 1, 0, "o", 1, "", promptTokens, answerTokens, prefixes(), Long.MAX_VALUE, 0);
     }
 
     private static List<Long> prefixes() {
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/pledge/VoterTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/pledge/VoterTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.HomeId;
+import org.whinwharf.owner.ProcessId;
 import org.whinwharf.owner.Timings;
 import org.whinwharf.wire.message.Pledge;
 import org.whinwharf.wire.message.PledgeRequest;
@@ -28,8 +28,8 @@
     private static final PledgeRequest REQUEST =
             PledgeRequest.newBuilder().addSlices(SLICE).build();
     private static final Membership MEMBERSHIP = membership();
-    private static final HomeId FIRST = owner(0);
-    private static final HomeId SECOND = owner(1);
+    private static final ProcessId FIRST = owner(0);
+    private static final ProcessId SECOND = owner(1);
 
     private final Voter voter = new Voter(0);
 
@@ -67,7 +67,7 @@
         voter.release(FIRST, List.of(SLICE), true, TIMINGS, 2100);
         Pledge pledge = ask(SECOND, 2110);
         assertThat(pledge.getSlicesCount(), is(1));
-        assertThat(pledge.getQuietMillis(0), is(10 + TIMINGS.longest(TIMINGS.grantMillis())));
+        assertThat(pledge.getQuietMillis(0), is(10 + TIMINGS.upperBoundMillis(TIMINGS.grantMillis())));
     }
 
     @Property(seed = "20261203")
@@ -80,19 +80,19 @@
         int first = Math.min(one, voters);
         int second = Math.min(other, voters - first);
         int third = voters - first - second;
-        int sum = new Share(first, voters).of(limit, rule)
-                + new Share(second, voters).of(limit, rule)
-                + new Share(third, voters).of(limit, rule);
+        int sum = new Share(first, voters).usableSlots(limit, rule)
+                + new Share(second, voters).usableSlots(limit, rule)
+                + new Share(third, voters).usableSlots(limit, rule);
         assertThat(sum, lessThanOrEqualTo(limit));
-        assertThat(new Share(voters, voters).of(limit, rule), is(limit));
+        assertThat(new Share(voters, voters).usableSlots(limit, rule), is(limit));
     }
 
-    private Pledge ask(HomeId asker, long nowMillis) {
+    private Pledge ask(ProcessId asker, long nowMillis) {
         return voter.answer(asker, REQUEST, MEMBERSHIP, TIMINGS, nowMillis);
     }
 
-    private static HomeId owner(int place) {
-        return new HomeId(MEMBERSHIP.candidates(SLICE).get(place).getName(), 1);
+    private static ProcessId owner(int place) {
+        return new ProcessId(MEMBERSHIP.candidates(SLICE).get(place).getName(), 1);
     }
 
     private static Membership membership() {
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/HomeId.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/ProcessId.java
@@ -6,4 +6,4 @@
  * @param host name of the host
  * @param incarnation number drawn at the start of the process
  */
-public record HomeId(String host, long incarnation) {}
+public record ProcessId(String host, long incarnation) {}
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/Action.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerAction.java
@@ -3,14 +3,14 @@
 import org.whinwharf.wire.message.Frame;
 
 /** What a scheduler is to do. */
-public sealed interface Action {
+public sealed interface SchedulerAction {
     /**
      * Send a frame to an entry process; dropped when its link is down.
      *
      * @param home the process
      * @param frame the frame
      */
-    record ToEntry(HomeId home, Frame frame) implements Action {}
+    record SendToEntry(ProcessId home, Frame frame) implements SchedulerAction {}
 
     /**
      * Send a frame to the scheduler of a host; dropped when there is no link.
@@ -18,13 +18,13 @@
      * @param host name of the host
      * @param frame the frame
      */
-    record ToPeer(String host, Frame frame) implements Action {}
+    record SendToPeer(String host, Frame frame) implements SchedulerAction {}
 
     /**
      * Count something.
      *
-     * @param measure what is counted
+     * @param counter what is counted
      * @param label refusal reason or tier rank
      */
-    record Counted(Measure measure, String label) implements Action {}
+    record IncrementCounter(SchedulerCounter counter, String label) implements SchedulerAction {}
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/Rules.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerConfiguration.java
@@ -14,14 +14,14 @@
  * @param services services by name, absent values filled in
  * @param lowestRank rank of the lowest tier
  */
-public record Rules(Timings timings, Map<String, ServiceSpec> services, int lowestRank) {
+public record SchedulerConfiguration(Timings timings, Map<String, ServiceSpec> services, int lowestRank) {
     /**
      * Takes the rules from a document.
      *
      * @param document document, absent values filled in
      * @return the rules
      */
-    public static Rules of(Document document) {
+    public static SchedulerConfiguration of(Document document) {
         return of(document.getServicesList(), document.getTiersList(), document.getTiming());
     }
 
@@ -33,14 +33,14 @@
      * @param timing times
      * @return the rules
      */
-    public static Rules of(Iterable<ServiceSpec> services, Iterable<Tier> tiers, Timing timing) {
+    public static SchedulerConfiguration of(Iterable<ServiceSpec> services, Iterable<Tier> tiers, Timing timing) {
         Map<String, ServiceSpec> byName = new HashMap<>();
         services.forEach(service -> byName.put(service.getName(), service));
         int lowestRank = Integer.MAX_VALUE;
         for (Tier tier : tiers) {
             lowestRank = Math.min(lowestRank, tier.getRank());
         }
-        return new Rules(Timings.of(timing), Map.copyOf(byName), lowestRank);
+        return new SchedulerConfiguration(Timings.of(timing), Map.copyOf(byName), lowestRank);
     }
 
     /**
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/Scene.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerContext.java
@@ -7,45 +7,45 @@
 import java.util.Map;
 import java.util.Set;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.floor.Floors;
-import org.whinwharf.owner.placement.Placement;
+import org.whinwharf.owner.floor.AdmissionFloors;
 import org.whinwharf.owner.placement.PlacementState;
-import org.whinwharf.owner.pledge.Views;
+import org.whinwharf.owner.placement.PlacementStrategy;
+import org.whinwharf.owner.pledge.MembershipViews;
 import org.whinwharf.wire.message.Frame;
 import org.whinwharf.wire.message.SliceId;
 import org.whinwharf.wire.schema.ServiceSpec;
 
 /** What all slices of one process share. */
-final class Scene {
+final class SchedulerContext {
     private static final long GRANTS_PER_START = 1L << 32;
 
-    private final HomeId self;
-    private final Placement placement;
-    private final SchedulerCore.Whole whole;
+    private final ProcessId self;
+    private final PlacementStrategy placement;
+    private final SchedulerCore.ProcessOperations whole;
     private final PlacementState placementState;
-    private final Views views = new Views();
-    private final Floors floors;
-    private final Map<HomeId, Long> homeClocks = new HashMap<>();
+    private final MembershipViews views = new MembershipViews();
+    private final AdmissionFloors floors;
+    private final Map<ProcessId, Long> homeClocks = new HashMap<>();
     private final Set<String> reachable = new HashSet<>();
-    private List<Action> actions = new ArrayList<>();
-    private Rules rules;
+    private List<SchedulerAction> actions = new ArrayList<>();
+    private SchedulerConfiguration rules;
     private boolean leaving;
     private long nextGrant;
 
-    Scene(HomeId self, Placement placement, SchedulerCore.Whole whole) {
+    SchedulerContext(ProcessId self, PlacementStrategy placement, SchedulerCore.ProcessOperations whole) {
         this.whole = whole;
         this.self = self;
         this.placement = placement;
         this.placementState = new PlacementState(self.incarnation());
-        this.floors = new Floors(self.incarnation());
+        this.floors = new AdmissionFloors(self.incarnation());
         this.nextGrant = self.incarnation() * GRANTS_PER_START + 1;
     }
 
-    HomeId self() {
+    ProcessId self() {
         return self;
     }
 
-    Placement placement() {
+    PlacementStrategy placement() {
         return placement;
     }
 
@@ -53,11 +53,11 @@
         return placementState;
     }
 
-    Views views() {
+    MembershipViews views() {
         return views;
     }
 
-    Floors floors() {
+    AdmissionFloors floors() {
         return floors;
     }
 
@@ -93,7 +93,7 @@
         return rules.service(name);
     }
 
-    void update(Membership membership, Rules newRules, long nowMillis) {
+    void update(Membership membership, SchedulerConfiguration newRules, long nowMillis) {
         rules = newRules;
         views.update(membership, rules.timings(), nowMillis);
     }
@@ -102,40 +102,40 @@
         whole.release(slice, nowMillis);
     }
 
-    void needFloor(String service, int rank, long nowMillis) {
-        whole.needFloor(service, rank, nowMillis);
+    void raiseFloor(String service, int rank, long nowMillis) {
+        whole.raiseFloor(service, rank, nowMillis);
     }
 
-    void heardClock(HomeId home, long clockMillis) {
+    void recordClock(ProcessId home, long clockMillis) {
         homeClocks.merge(home, clockMillis, Math::max);
     }
 
-    long clock(HomeId home) {
+    long clock(ProcessId home) {
         return homeClocks.getOrDefault(home, 0L);
     }
 
-    void forget(HomeId home) {
+    void forget(ProcessId home) {
         homeClocks.remove(home);
     }
 
-    long newGrant() {
+    long nextGrantId() {
         return nextGrant++;
     }
 
-    void toEntry(HomeId home, Frame.Builder frame) {
-        actions.add(new Action.ToEntry(home, frame.build()));
+    void sendToEntry(ProcessId home, Frame.Builder frame) {
+        actions.add(new SchedulerAction.SendToEntry(home, frame.build()));
     }
 
-    void toPeer(String host, Frame.Builder frame) {
-        actions.add(new Action.ToPeer(host, frame.build()));
+    void sendToPeer(String host, Frame.Builder frame) {
+        actions.add(new SchedulerAction.SendToPeer(host, frame.build()));
     }
 
-    void count(Measure measure, Object label) {
-        actions.add(new Action.Counted(measure, String.valueOf(label)));
+    void count(SchedulerCounter measure, Object label) {
+        actions.add(new SchedulerAction.IncrementCounter(measure, String.valueOf(label)));
     }
 
-    List<Action> takeActions() {
-        List<Action> taken = actions;
+    List<SchedulerAction> takeActions() {
+        List<SchedulerAction> taken = actions;
         actions = new ArrayList<>();
         return taken;
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCore.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCore.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import org.whinwharf.membership.Membership;
 import org.whinwharf.owner.limit.TargetAccount;
-import org.whinwharf.owner.placement.Placement;
+import org.whinwharf.owner.placement.PlacementStrategy;
 import org.whinwharf.owner.pledge.Voter;
 import org.whinwharf.wire.message.Enqueue;
 import org.whinwharf.wire.message.FloorCleared;
@@ -35,7 +35,7 @@
     private static final long SHORTEST_PAUSE_MILLIS = 500;
     private static final int FLOOR_CANDIDATES = 2;
 
-    private final Scene scene;
+    private final SchedulerContext scene;
     private final Voter voter;
     private final Map<SliceId, SliceOwner> slices = new HashMap<>();
     private long handledAtMillis;
@@ -49,8 +49,8 @@
      * @param placement how targets are chosen
      * @param startedAtMillis when the process started
      */
-    public SchedulerCore(HomeId self, Placement placement, long startedAtMillis) {
-        this.scene = new Scene(self, placement, new Whole());
+    public SchedulerCore(ProcessId self, PlacementStrategy placement, long startedAtMillis) {
+        this.scene = new SchedulerContext(self, placement, new ProcessOperations());
         this.voter = new Voter(startedAtMillis);
     }
 
@@ -61,9 +61,9 @@
      * @param nowMillis time now, by this process's monotonic clock
      * @return what to do, in this order
      */
-    public List<Action> handle(Event event, long nowMillis) {
+    public List<SchedulerAction> handle(SchedulerEvent event, long nowMillis) {
         noticePause(nowMillis);
-        if (event instanceof Event.Viewed viewed) {
+        if (event instanceof SchedulerEvent.ConfigurationChanged viewed) {
             viewed(viewed, nowMillis);
         } else if (scene.isReady()) {
             handleReady(event, nowMillis);
@@ -78,8 +78,8 @@
      * @param nowMillis time now
      * @return true when the process may exit
      */
-    public boolean hasHandedOver(long nowMillis) {
-        return slices.values().stream().allMatch(owner -> owner.hasHandedOver(nowMillis));
+    public boolean isHandoverComplete(long nowMillis) {
+        return slices.values().stream().allMatch(owner -> owner.isHandoverComplete(nowMillis));
     }
 
     /**
@@ -87,9 +87,9 @@
      *
      * @return names of targets of the slices that this process owns or is to own
      */
-    public Set<String> targetsToRead() {
+    public Set<String> targetsToPoll() {
         Set<String> targets = new LinkedHashSet<>();
-        slices.values().forEach(owner -> targets.addAll(owner.ownTargets()));
+        slices.values().forEach(owner -> targets.addAll(owner.targetNames()));
         return targets;
     }
 
@@ -99,12 +99,12 @@
      * @param target name of the target
      * @return number for the next question; 0 when none was seen
      */
-    public long lastCacheEvent(String target) {
+    public long lastCacheEventNumber(String target) {
         return scene.membership()
                 .sliceOf(target)
                 .map(slices::get)
                 .flatMap(owner -> owner.targets().account(target))
-                .map(account -> account.prefixes().lastNumber())
+                .map(account -> account.prefixes().lastEventNumber())
                 .orElse(0L);
     }
 
@@ -114,10 +114,10 @@
      * @param nowMillis time now
      * @return names of hosts: voters of own slices, owners of the same services, and candidates before this host
      */
-    public Set<String> peersNeeded(long nowMillis) {
+    public Set<String> requiredPeers(long nowMillis) {
         Set<String> peers = new LinkedHashSet<>();
         for (SliceOwner owner : slices.values()) {
-            if (owner.wantsPledges(nowMillis)) {
+            if (owner.needsPledges(nowMillis)) {
                 peers.addAll(scene.views().voters(owner.slice()));
                 peers.addAll(owners(owner.slice().getService()));
             }
@@ -140,7 +140,7 @@
      */
     public List<SliceState> states(long nowMillis) {
         return slices.values().stream()
-                .map(owner -> SliceReport.state(owner, nowMillis))
+                .map(owner -> SliceStatusReporter.state(owner, nowMillis))
                 .toList();
     }
 
@@ -148,7 +148,7 @@
     // both could have a majority; ticks that come late show the pause.
     private void noticePause(long nowMillis) {
         if (scene.isReady() && nowMillis - handledAtMillis > pauseMillis()) {
-            scene.views().paused(scene.timings(), nowMillis);
+            scene.views().resetAfterPause(scene.timings(), nowMillis);
         }
         handledAtMillis = nowMillis;
     }
@@ -158,41 +158,41 @@
         return Math.max(SHORTEST_PAUSE_MILLIS, scene.timings().listLagMillis() / 2);
     }
 
-    private void handleReady(Event event, long nowMillis) {
-        if (event instanceof Event.FromEntry frame) {
+    private void handleReady(SchedulerEvent event, long nowMillis) {
+        if (event instanceof SchedulerEvent.EntryFrame frame) {
             fromEntry(frame.home(), frame.frame(), nowMillis);
-        } else if (event instanceof Event.FromPeer frame) {
+        } else if (event instanceof SchedulerEvent.PeerFrame frame) {
             fromPeer(frame.scheduler(), frame.frame(), nowMillis);
-        } else if (event instanceof Event.EntryLost lost) {
-            slices.values().forEach(owner -> owner.lost(lost.home(), nowMillis));
+        } else if (event instanceof SchedulerEvent.EntryDisconnected lost) {
+            slices.values().forEach(owner -> owner.homeDisconnected(lost.home(), nowMillis));
             scene.forget(lost.home());
-        } else if (event instanceof Event.PeerUp up) {
+        } else if (event instanceof SchedulerEvent.PeerConnected up) {
             scene.reachable().add(up.scheduler().host());
             pledgesAskedAtMillis = Long.MIN_VALUE / 2;
-        } else if (event instanceof Event.PeerLost lost) {
+        } else if (event instanceof SchedulerEvent.PeerDisconnected lost) {
             scene.reachable().remove(lost.scheduler().host());
-        } else if (event instanceof Event.LoadRead read) {
+        } else if (event instanceof SchedulerEvent.LoadReceived read) {
             loadRead(read, nowMillis);
-        } else if (event instanceof Event.LoadFailed failed) {
+        } else if (event instanceof SchedulerEvent.LoadRequestFailed failed) {
             withTarget(
                     failed.target(),
-                    owner -> owner.targets().account(failed.target()).ifPresent(TargetAccount::unreadable));
-        } else if (event instanceof Event.CacheRead read) {
+                    owner -> owner.targets().account(failed.target()).ifPresent(TargetAccount::loadUnavailable));
+        } else if (event instanceof SchedulerEvent.CacheEventsReceived read) {
             withTarget(
                     read.target(),
                     owner -> owner.targets()
                             .account(read.target())
-                            .ifPresent(account -> account.prefixes().read(read.events())));
-        } else if (event instanceof Event.Leave) {
+                            .ifPresent(account -> account.prefixes().applyEvents(read.events())));
+        } else if (event instanceof SchedulerEvent.Leave) {
             scene.leave();
             tick(nowMillis);
-        } else if (event instanceof Event.Tick) {
+        } else if (event instanceof SchedulerEvent.Tick) {
             tick(nowMillis);
         }
     }
 
-    private void viewed(Event.Viewed viewed, long nowMillis) {
-        scene.update(viewed.membership(), viewed.rules(), nowMillis);
+    private void viewed(SchedulerEvent.ConfigurationChanged viewed, long nowMillis) {
+        scene.update(viewed.membership(), viewed.configuration(), nowMillis);
         voter.prune(viewed.membership(), nowMillis);
         for (SliceId slice : viewed.membership().slices()) {
             boolean first = viewed.membership()
@@ -203,14 +203,14 @@
                 slices.computeIfAbsent(slice, key -> new SliceOwner(key, scene));
             }
         }
-        slices.values().forEach(owner -> owner.viewed(nowMillis));
+        slices.values().forEach(owner -> owner.configurationChanged(nowMillis));
         pledgesAskedAtMillis = Long.MIN_VALUE / 2;
         tick(nowMillis);
     }
 
-    private void fromEntry(HomeId home, Frame frame, long nowMillis) {
+    private void fromEntry(ProcessId home, Frame frame, long nowMillis) {
         switch (frame.getBodyCase()) {
-            case HEARTBEAT -> scene.heardClock(home, frame.getHeartbeat().getSentAtMillis());
+            case HEARTBEAT -> scene.recordClock(home, frame.getHeartbeat().getSentAtMillis());
             case ENQUEUE -> enqueue(home, frame.getEnqueue(), nowMillis);
             case WITHDRAW -> {
                 SliceOwner owner = slices.get(frame.getWithdraw().getSlice());
@@ -230,8 +230,8 @@
         }
     }
 
-    private void enqueue(HomeId home, Enqueue enqueue, long nowMillis) {
-        scene.heardClock(home, enqueue.getSentAtMillis());
+    private void enqueue(ProcessId home, Enqueue enqueue, long nowMillis) {
+        scene.recordClock(home, enqueue.getSentAtMillis());
         SliceOwner owner = slices.computeIfAbsent(enqueue.getSlice(), key -> new SliceOwner(key, scene));
         owner.enqueue(home, enqueue, nowMillis);
         if (owner.isIdle(nowMillis)) {
@@ -239,10 +239,10 @@
         }
     }
 
-    private void fromPeer(HomeId scheduler, Frame frame, long nowMillis) {
+    private void fromPeer(ProcessId scheduler, Frame frame, long nowMillis) {
         switch (frame.getBodyCase()) {
             case PLEDGE_REQUEST ->
-                scene.toPeer(
+                scene.sendToPeer(
                         scheduler.host(),
                         Frame.newBuilder()
                                 .setPledge(voter.answer(
@@ -267,12 +267,12 @@
                         nowMillis);
             case FLOOR_RAISE -> floorRaised(scheduler.host(), frame.getFloorRaise(), nowMillis);
             case FLOOR_CLEARED -> {
-                scene.floors().cleared(scheduler.host(), frame.getFloorCleared());
+                scene.floors().recordCleared(scheduler.host(), frame.getFloorCleared());
                 decide(frame.getFloorCleared().getService(), nowMillis);
             }
             case FLOOR_LOWER ->
                 scene.floors()
-                        .end(
+                        .removeRemote(
                                 scheduler.host(),
                                 frame.getFloorLower().getService(),
                                 frame.getFloorLower().getFloor());
@@ -285,17 +285,17 @@
     private void pledged(String host, Pledge pledge, long nowMillis) {
         for (int i = 0; i < pledge.getSlicesCount(); i++) {
             SliceOwner owner = slices.get(pledge.getSlices(i));
-            if (owner != null && owner.wantsPledges(nowMillis)) {
-                owner.pledged(host, pledge, i, nowMillis);
-                owner.decide(nowMillis);
+            if (owner != null && owner.needsPledges(nowMillis)) {
+                owner.pledgeReceived(host, pledge, i, nowMillis);
+                owner.schedule(nowMillis);
             }
         }
     }
 
     private void floorRaised(String host, FloorRaise raise, long nowMillis) {
-        scene.floors().stand(host, raise, nowMillis);
+        scene.floors().addRemote(host, raise, nowMillis);
         evictBelow(raise.getService(), raise.getRank(), nowMillis);
-        scene.toPeer(
+        scene.sendToPeer(
                 host,
                 Frame.newBuilder()
                         .setFloorCleared(FloorCleared.newBuilder()
@@ -304,12 +304,13 @@
                                 .setFloor(raise.getFloor())));
     }
 
-    private void loadRead(Event.LoadRead read, long nowMillis) {
+    private void loadRead(SchedulerEvent.LoadReceived read, long nowMillis) {
         withTarget(read.target(), owner -> {
             owner.targets()
                     .account(read.target())
-                    .ifPresent(account -> account.read(read.load(), read.askedAtMillis(), nowMillis, scene.timings()));
-            owner.decide(nowMillis);
+                    .ifPresent(account ->
+                            account.addReading(read.load(), read.requestedAtMillis(), nowMillis, scene.timings()));
+            owner.schedule(nowMillis);
         });
     }
 
@@ -323,16 +324,16 @@
 
     private void tick(long nowMillis) {
         Membership membership = scene.membership();
-        scene.views().prune(nowMillis - scene.timings().staleLoadMillis());
+        scene.views().prune(nowMillis - scene.timings().maxLoadAgeMillis());
         askForPledges(nowMillis);
-        slices.values().forEach(owner -> owner.decide(nowMillis));
+        slices.values().forEach(owner -> owner.schedule(nowMillis));
         tendFloors(nowMillis);
         slices.values()
                 .removeIf(owner -> owner.isIdle(nowMillis)
-                        || !membership.slices().contains(owner.slice()) && owner.hasHandedOver(nowMillis));
+                        || !membership.slices().contains(owner.slice()) && owner.isHandoverComplete(nowMillis));
         if (nowMillis - statusSentAtMillis >= STATUS_MILLIS) {
             statusSentAtMillis = nowMillis;
-            slices.values().forEach(owner -> SliceReport.send(owner, scene, nowMillis));
+            slices.values().forEach(owner -> SliceStatusReporter.send(owner, scene, nowMillis));
         }
     }
 
@@ -343,7 +344,7 @@
         pledgesAskedAtMillis = nowMillis;
         Map<String, PledgeRequest.Builder> requests = new TreeMap<>();
         for (SliceOwner owner : slices.values()) {
-            if (owner.wantsPledges(nowMillis)) {
+            if (owner.needsPledges(nowMillis)) {
                 for (String host : scene.views().voters(owner.slice())) {
                     requests.computeIfAbsent(host, key -> PledgeRequest.newBuilder())
                             .addSlices(owner.slice());
@@ -359,14 +360,14 @@
             Pledge pledge = voter.answer(scene.self(), request, scene.membership(), scene.timings(), nowMillis);
             pledged(host, pledge, nowMillis);
         } else {
-            scene.toPeer(host, Frame.newBuilder().setPledgeRequest(request));
+            scene.sendToPeer(host, Frame.newBuilder().setPledgeRequest(request));
         }
     }
 
     private void tendFloors(long nowMillis) {
-        scene.floors().lower(nowMillis).forEach((service, floor) -> {
+        scene.floors().lowerUnneeded(nowMillis).forEach((service, floor) -> {
             for (String host : owners(service)) {
-                scene.toPeer(
+                scene.sendToPeer(
                         host,
                         Frame.newBuilder()
                                 .setFloorLower(FloorLower.newBuilder()
@@ -374,7 +375,7 @@
                                         .setFloor(floor)));
             }
         });
-        for (String service : scene.floors().due(nowMillis)) {
+        for (String service : scene.floors().servicesToAnnounce(nowMillis)) {
             announceFloor(service, nowMillis);
         }
     }
@@ -383,7 +384,7 @@
         Set<String> owners = owners(service);
         FloorRaise raise = scene.floors().announce(service, owners, nowMillis);
         for (String host : owners) {
-            scene.toPeer(host, Frame.newBuilder().setFloorRaise(raise));
+            scene.sendToPeer(host, Frame.newBuilder().setFloorRaise(raise));
         }
     }
 
@@ -410,13 +411,13 @@
     private void decide(String service, long nowMillis) {
         for (SliceOwner owner : slices.values()) {
             if (owner.slice().getService().equals(service)) {
-                owner.decide(nowMillis);
+                owner.schedule(nowMillis);
             }
         }
     }
 
     /** What one slice asks of the whole process. */
-    final class Whole {
+    final class ProcessOperations {
         /** Gives the pledges of a slice back to all voters. */
         void release(SliceId slice, long nowMillis) {
             List<SliceId> released = List.of(slice);
@@ -424,7 +425,7 @@
                 if (host.equals(scene.self().host())) {
                     voter.release(scene.self(), released, true, scene.timings(), nowMillis);
                 } else {
-                    scene.toPeer(
+                    scene.sendToPeer(
                             host,
                             Frame.newBuilder()
                                     .setPledgeRelease(PledgeRelease.newBuilder()
@@ -435,9 +436,9 @@
         }
 
         /** Raises the floor of a service, clears the own slices first and tells the others. */
-        void needFloor(String service, int rank, long nowMillis) {
-            if (scene.floors().need(service, rank, nowMillis)) {
-                scene.count(Measure.FLOOR_RAISED, rank);
+        void raiseFloor(String service, int rank, long nowMillis) {
+            if (scene.floors().raise(service, rank, nowMillis)) {
+                scene.count(SchedulerCounter.FLOOR_RAISED, rank);
                 evictBelow(service, rank, nowMillis);
                 announceFloor(service, nowMillis);
             }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/Measure.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCounter.java
@@ -1,7 +1,7 @@
 package org.whinwharf.owner;
 
 /** What a scheduler counts. */
-public enum Measure {
+public enum SchedulerCounter {
     /** Grants given, by tier rank. */
     GRANTED,
     /** Grants that came back unused, by tier rank. */
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/Event.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerEvent.java
@@ -6,28 +6,28 @@
 import org.whinwharf.wire.schema.TargetLoad;
 
 /** What can happen to a scheduler. */
-public sealed interface Event {
+public sealed interface SchedulerEvent {
     /**
      * A frame came from an entry process.
      *
      * @param home the process
      * @param frame the frame
      */
-    record FromEntry(HomeId home, Frame frame) implements Event {}
+    record EntryFrame(ProcessId home, Frame frame) implements SchedulerEvent {}
 
     /**
      * The link to an entry process is gone.
      *
      * @param home the process
      */
-    record EntryLost(HomeId home) implements Event {}
+    record EntryDisconnected(ProcessId home) implements SchedulerEvent {}
 
     /**
      * A link to another scheduler is up.
      *
      * @param scheduler the process
      */
-    record PeerUp(HomeId scheduler) implements Event {}
+    record PeerConnected(ProcessId scheduler) implements SchedulerEvent {}
 
     /**
      * A frame came from another scheduler.
@@ -35,38 +35,39 @@
      * @param scheduler the process
      * @param frame the frame
      */
-    record FromPeer(HomeId scheduler, Frame frame) implements Event {}
+    record PeerFrame(ProcessId scheduler, Frame frame) implements SchedulerEvent {}
 
     /**
      * The link to another scheduler is gone.
      *
      * @param scheduler the process
      */
-    record PeerLost(HomeId scheduler) implements Event {}
+    record PeerDisconnected(ProcessId scheduler) implements SchedulerEvent {}
 
     /**
      * A new host list or document is in force.
      *
      * @param membership view of both
-     * @param rules what the document says
+     * @param configuration what the document says
      */
-    record Viewed(Membership membership, Rules rules) implements Event {}
+    record ConfigurationChanged(Membership membership, SchedulerConfiguration configuration)
+            implements SchedulerEvent {}
 
     /**
      * A target's load was read.
      *
      * @param target name of the target
      * @param load its answer
-     * @param askedAtMillis when it was asked
+     * @param requestedAtMillis when it was asked
      */
-    record LoadRead(String target, TargetLoad load, long askedAtMillis) implements Event {}
+    record LoadReceived(String target, TargetLoad load, long requestedAtMillis) implements SchedulerEvent {}
 
     /**
      * A target's load could not be read.
      *
      * @param target name of the target
      */
-    record LoadFailed(String target) implements Event {}
+    record LoadRequestFailed(String target) implements SchedulerEvent {}
 
     /**
      * Cache events of a target were read.
@@ -74,11 +75,11 @@
      * @param target name of the target
      * @param events its answer
      */
-    record CacheRead(String target, CacheEvents events) implements Event {}
+    record CacheEventsReceived(String target, CacheEvents events) implements SchedulerEvent {}
 
     /** Time passes. */
-    record Tick() implements Event {}
+    record Tick() implements SchedulerEvent {}
 
     /** A planned stop begins. */
-    record Leave() implements Event {}
+    record Leave() implements SchedulerEvent {}
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SliceOwner.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SliceOwner.java
@@ -8,11 +8,11 @@
 import org.whinwharf.owner.limit.Slot;
 import org.whinwharf.owner.limit.TargetAccount;
 import org.whinwharf.owner.placement.Candidate;
-import org.whinwharf.owner.pledge.PledgeBook;
+import org.whinwharf.owner.pledge.HeldPledges;
 import org.whinwharf.owner.pledge.ShareRule;
 import org.whinwharf.owner.queue.DrainRate;
 import org.whinwharf.owner.queue.SliceQueue;
-import org.whinwharf.owner.queue.Waiting;
+import org.whinwharf.owner.queue.WaitingRequest;
 import org.whinwharf.wire.message.Enqueue;
 import org.whinwharf.wire.message.Finished;
 import org.whinwharf.wire.message.Frame;
@@ -36,21 +36,21 @@
     private static final long HEARD_MILLIS = 5_000;
 
     private final SliceId slice;
-    private final Scene scene;
-    private final PledgeBook book;
+    private final SchedulerContext scene;
+    private final HeldPledges pledges;
     private final SliceTargets targets;
     private final SliceQueue queue = new SliceQueue();
     private final DrainRate drain = new DrainRate();
-    private final Map<HomeId, Long> heardAtMillis = new HashMap<>();
+    private final Map<ProcessId, Long> lastContactMillis = new HashMap<>();
     private long enqueuedAtMillis = Long.MIN_VALUE / 2;
     private long hopelessAtMillis = Long.MIN_VALUE / 2;
-    private boolean holds;
+    private boolean mayHoldPledges;
 
-    SliceOwner(SliceId slice, Scene scene) {
+    SliceOwner(SliceId slice, SchedulerContext scene) {
         this.slice = slice;
         this.scene = scene;
-        this.book = new PledgeBook(slice, scene.views(), ShareRule.REST_TO_MAJORITY);
-        this.targets = new SliceTargets(slice, scene, book);
+        this.pledges = new HeldPledges(slice, scene.views(), ShareRule.REST_TO_MAJORITY);
+        this.targets = new SliceTargets(slice, scene, pledges);
         targets.update();
     }
 
@@ -66,26 +66,26 @@
         return targets;
     }
 
-    PledgeBook book() {
-        return book;
+    HeldPledges pledges() {
+        return pledges;
     }
 
-    Map<HomeId, Long> heardAtMillis() {
-        return heardAtMillis;
+    Map<ProcessId, Long> lastContactMillis() {
+        return lastContactMillis;
     }
 
-    void viewed(long nowMillis) {
+    void configurationChanged(long nowMillis) {
         targets.update();
-        decide(nowMillis);
+        schedule(nowMillis);
     }
 
     /** Tells whether this process is to own the slice: first by the list, or the first that can be reached. */
-    boolean claims(long nowMillis) {
+    boolean shouldOwn(long nowMillis) {
         if (scene.isLeaving() || !scene.membership().slices().contains(slice)) {
             return false;
         }
         boolean asked = nowMillis - enqueuedAtMillis < HEARD_MILLIS
-                || book.share(nowMillis).pledged() > 0;
+                || pledges.share(nowMillis).pledged() > 0;
         for (Host candidate : scene.membership().candidates(slice)) {
             if (candidate.getName().equals(scene.self().host())) {
                 return true;
@@ -98,79 +98,81 @@
     }
 
     /** Tells whether pledges are to be asked for, also while grants are still out. */
-    boolean wantsPledges(long nowMillis) {
-        return claims(nowMillis) || holds && targets.hasUnused(nowMillis);
+    boolean needsPledges(long nowMillis) {
+        return shouldOwn(nowMillis) || mayHoldPledges && targets.hasUnusedGrants(nowMillis);
     }
 
     /** Tells whether nothing of the slice is left here. */
     boolean isIdle(long nowMillis) {
-        return !claims(nowMillis)
+        return !shouldOwn(nowMillis)
                 && queue.size() == 0
-                && !holds
-                && targets.accounts().stream().allMatch(account -> account.taken() == 0);
+                && !mayHoldPledges
+                && targets.accounts().stream().allMatch(account -> account.inFlight() == 0);
     }
 
-    boolean hasHandedOver(long nowMillis) {
-        return queue.size() == 0 && !holds && !targets.hasUnused(nowMillis);
+    boolean isHandoverComplete(long nowMillis) {
+        return queue.size() == 0 && !mayHoldPledges && !targets.hasUnusedGrants(nowMillis);
     }
 
-    void pledged(String voter, Pledge pledge, int position, long nowMillis) {
+    void pledgeReceived(String voter, Pledge pledge, int position, long nowMillis) {
         long quietMillis = position < pledge.getQuietMillisCount() ? pledge.getQuietMillis(position) : 0;
-        book.pledged(voter, pledge.getEchoMillis(), pledge.getGoodMillis(), quietMillis, scene.timings(), nowMillis);
-        holds = true;
+        pledges.add(voter, pledge.getEchoMillis(), pledge.getGoodMillis(), quietMillis, scene.timings(), nowMillis);
+        mayHoldPledges = true;
     }
 
-    void enqueue(HomeId home, Enqueue enqueue, long nowMillis) {
+    void enqueue(ProcessId home, Enqueue enqueue, long nowMillis) {
         enqueuedAtMillis = nowMillis;
-        heardAtMillis.put(home, nowMillis);
+        lastContactMillis.put(home, nowMillis);
         targets.adopt(home, enqueue.getInFlightList(), nowMillis);
-        Waiting waiting = waiting(home, enqueue, nowMillis);
+        WaitingRequest waiting = waiting(home, enqueue, nowMillis);
         targets.orphan(home, enqueue.getRequest(), nowMillis);
         Optional<RefusalReason> refusal = refusalOf(waiting, nowMillis);
         if (refusal.isPresent()) {
             refuse(waiting, refusal.get(), nowMillis);
         } else if (queue.add(waiting)) {
-            decide(nowMillis);
+            schedule(nowMillis);
         }
     }
 
-    void withdraw(HomeId home, long request) {
-        queue.remove(new Waiting.Key(home, request));
+    void withdraw(ProcessId home, long request) {
+        queue.remove(new WaitingRequest.Key(home, request));
     }
 
-    void finished(HomeId home, Finished finished, long nowMillis) {
-        heardAtMillis.put(home, nowMillis);
-        scene.count(Measure.FINISHED, finished.getKind());
+    void finished(ProcessId home, Finished finished, long nowMillis) {
+        lastContactMillis.put(home, nowMillis);
+        scene.count(SchedulerCounter.FINISHED, finished.getKind());
         Optional<Slot> slot = targets.finish(home, finished, nowMillis);
         switch (finished.getKind()) {
-            case COMPLETED -> slot.map(Slot::waiting).ifPresent(waiting -> drain.completed(waiting.cost(), nowMillis));
-            case UNUSED -> slot.map(Slot::waiting).ifPresent(waiting -> scene.count(Measure.UNUSED, waiting.rank()));
+            case COMPLETED ->
+                slot.map(Slot::waiting).ifPresent(waiting -> drain.addCompleted(waiting.cost(), nowMillis));
+            case UNUSED ->
+                slot.map(Slot::waiting).ifPresent(waiting -> scene.count(SchedulerCounter.UNUSED, waiting.rank()));
             default -> {
                 // What failed or was cancelled says nothing of how fast the slice drains.
             }
         }
-        decide(nowMillis);
+        schedule(nowMillis);
     }
 
-    void lost(HomeId home, long nowMillis) {
-        heardAtMillis.remove(home);
-        queue.of(home).forEach(waiting -> queue.remove(waiting.key()));
+    void homeDisconnected(ProcessId home, long nowMillis) {
+        lastContactMillis.remove(home);
+        queue.waitingOf(home).forEach(waiting -> queue.remove(waiting.key()));
         targets.orphan(home, nowMillis);
-        decide(nowMillis);
+        schedule(nowMillis);
     }
 
     /** Refuses what waits below a rank. */
     void evictBelow(int rank, long nowMillis) {
-        for (Waiting waiting : queue.below(rank)) {
+        for (WaitingRequest waiting : queue.belowRank(rank)) {
             evict(waiting, RefusalReason.BELOW_FLOOR, nowMillis);
         }
     }
 
     /** Does all that is due now. */
-    void decide(long nowMillis) {
-        targets.abandonOrphans(nowMillis);
+    void schedule(long nowMillis) {
+        targets.expireOrphans(nowMillis);
         targets.recallFromUnusable(nowMillis, this::recall);
-        if (!claims(nowMillis)) {
+        if (!shouldOwn(nowMillis)) {
             handOver(nowMillis);
             return;
         }
@@ -187,12 +189,12 @@
     }
 
     /** Predicts how long a fresh request of a tier waits. */
-    long waitMillis(int rank, long nowMillis) {
+    long estimatedWaitMillis(int rank, long nowMillis) {
         return (long) drain.predictMillis(queue.costAhead(rank), nowMillis);
     }
 
-    private Waiting waiting(HomeId home, Enqueue enqueue, long nowMillis) {
-        return new Waiting(
+    private WaitingRequest waiting(ProcessId home, Enqueue enqueue, long nowMillis) {
+        return new WaitingRequest(
                 home,
                 enqueue.getRequest(),
                 enqueue.getTierRank(),
@@ -206,34 +208,34 @@
                 nowMillis);
     }
 
-    private Optional<RefusalReason> refusalOf(Waiting waiting, long nowMillis) {
+    private Optional<RefusalReason> refusalOf(WaitingRequest waiting, long nowMillis) {
         if (scene.isLeaving()) {
             return Optional.of(RefusalReason.OWNER_LEAVING);
         }
-        if (!claims(nowMillis)) {
+        if (!shouldOwn(nowMillis)) {
             return Optional.of(RefusalReason.NOT_OWNER);
         }
         if (targets.usableCount() == 0) {
             return Optional.of(RefusalReason.NO_TARGET);
         }
-        if (waiting.rank() < scene.floors().rank(slice.getService(), nowMillis)) {
+        if (waiting.rank() < scene.floors().effectiveRank(slice.getService(), nowMillis)) {
             return Optional.of(RefusalReason.BELOW_FLOOR);
         }
         // The prediction may be wrong, and a lower request that waits here would then get the place of this one. It
         // is given up only when its deadline cannot be met even if it were next.
-        double waitMillis = queue.hasBelow(waiting.rank())
+        double waitMillis = queue.hasBelowRank(waiting.rank())
                 ? 0
                 : OPTIMISM * drain.predictMillis(queue.costBefore(waiting), nowMillis);
         return isHopeless(waiting, waitMillis, nowMillis) ? Optional.of(RefusalReason.HOPELESS) : Optional.empty();
     }
 
-    private boolean isHopeless(Waiting waiting, double waitMillis, long nowMillis) {
+    private boolean isHopeless(WaitingRequest waiting, double waitMillis, long nowMillis) {
         double leftMillis = waiting.deadlineMillis() - nowMillis;
-        return leftMillis <= 0 || leftMillis < waitMillis + targets.bestMillis(waiting, nowMillis);
+        return leftMillis <= 0 || leftMillis < waitMillis + targets.minPredictedMillis(waiting, nowMillis);
     }
 
     private void evictHopeless(long nowMillis) {
-        for (Waiting waiting : queue.all()) {
+        for (WaitingRequest waiting : queue.all()) {
             if (isHopeless(waiting, 0, nowMillis)) {
                 evict(waiting, RefusalReason.HOPELESS, nowMillis);
             }
@@ -241,12 +243,12 @@
     }
 
     private void evictAll(RefusalReason reason, long nowMillis) {
-        for (Waiting waiting : queue.all()) {
+        for (WaitingRequest waiting : queue.all()) {
             evict(waiting, reason, nowMillis);
         }
     }
 
-    private void evict(Waiting waiting, RefusalReason reason, long nowMillis) {
+    private void evict(WaitingRequest waiting, RefusalReason reason, long nowMillis) {
         queue.remove(waiting.key());
         refuse(waiting, reason, nowMillis);
     }
@@ -254,9 +256,9 @@
     private void handOver(long nowMillis) {
         evictAll(scene.isLeaving() ? RefusalReason.OWNER_LEAVING : RefusalReason.NOT_OWNER, nowMillis);
         targets.recallAll(nowMillis, this::recall);
-        if (holds && !targets.hasUnused(nowMillis)) {
-            holds = false;
-            book.clear();
+        if (mayHoldPledges && !targets.hasUnusedGrants(nowMillis)) {
+            mayHoldPledges = false;
+            pledges.clear();
             scene.release(slice, nowMillis);
         }
     }
@@ -267,23 +269,23 @@
     private void trim(long nowMillis) {
         int bound = scene.service(slice.getService()).getMaxWaiting();
         while (queue.size() > bound) {
-            Waiting victim = queue.victim().orElseThrow();
+            WaitingRequest victim = queue.victim().orElseThrow();
             if (!mayShed(victim, nowMillis)) {
-                scene.needFloor(slice.getService(), victim.rank(), nowMillis);
+                scene.raiseFloor(slice.getService(), victim.rank(), nowMillis);
                 if (queue.size() <= HARD_BOUND_FACTOR * bound) {
                     return;
                 }
-                scene.count(Measure.SHED_BEFORE_FLOOR, victim.rank());
+                scene.count(SchedulerCounter.SHED_BEFORE_FLOOR, victim.rank());
             }
             evict(victim, RefusalReason.SHED, nowMillis);
         }
         // A floor that fell whenever the queue is just not too long would rise again with the next request.
         if (queue.size() > NEARLY_FULL * bound) {
-            scene.floors().keep(slice.getService(), nowMillis);
+            scene.floors().extend(slice.getService(), nowMillis);
         }
     }
 
-    private boolean mayShed(Waiting victim, long nowMillis) {
+    private boolean mayShed(WaitingRequest victim, long nowMillis) {
         return victim.rank() <= scene.lowestRank()
                 || scene.floors()
                         .mayShed(slice.getService(), victim.rank(), scene.reachable(), scene.timings(), nowMillis);
@@ -293,7 +295,7 @@
         if (queue.size() == 0) {
             return;
         }
-        List<Candidate> candidates = targets.withRoom(nowMillis);
+        List<Candidate> candidates = targets.candidates(nowMillis);
         boolean granted = true;
         while (granted && !candidates.isEmpty()) {
             granted = grantOne(candidates, nowMillis);
@@ -301,32 +303,32 @@
     }
 
     private boolean grantOne(List<Candidate> candidates, long nowMillis) {
-        Optional<Waiting> next = queue.next(waiting -> waiting.deadlineMillis() > nowMillis
+        Optional<WaitingRequest> next = queue.next(waiting -> waiting.deadlineMillis() > nowMillis
                 && candidates.stream().anyMatch(candidate -> candidate.account().serves(waiting.model())));
         if (next.isEmpty()) {
             return false;
         }
-        Waiting waiting = next.get();
+        WaitingRequest waiting = next.get();
         List<Candidate> fitting = candidates.stream()
                 .filter(candidate -> candidate.account().serves(waiting.model()))
                 .toList();
         Candidate chosen = scene.placement().choose(fitting, waiting, scene.placementState());
         grant(waiting, chosen, nowMillis);
         candidates.remove(chosen);
-        if (chosen.room() > 1) {
-            candidates.add(chosen.less());
+        if (chosen.freeSlots() > 1) {
+            candidates.add(chosen.afterGrant());
         }
         return true;
     }
 
-    private void grant(Waiting waiting, Candidate chosen, long nowMillis) {
+    private void grant(WaitingRequest waiting, Candidate chosen, long nowMillis) {
         TargetAccount account = chosen.account();
         Host host = scene.membership().host(account.name()).orElseThrow();
-        long grant = scene.newGrant();
-        queue.granted(waiting);
-        account.grant(waiting, grant, chosen.room() <= 1, scene.timings(), nowMillis);
-        scene.count(Measure.GRANTED, waiting.rank());
-        scene.toEntry(
+        long grant = scene.nextGrantId();
+        queue.removeGranted(waiting);
+        account.grant(waiting, grant, chosen.freeSlots() <= 1, scene.timings(), nowMillis);
+        scene.count(SchedulerCounter.GRANTED, waiting.rank());
+        scene.sendToEntry(
                 waiting.home(),
                 Frame.newBuilder()
                         .setGrant(Grant.newBuilder()
@@ -338,14 +340,15 @@
                                 .setPort(host.getTarget().getPort())
                                 .setEchoMillis(scene.clock(waiting.home()))
                                 .setGoodMillis(scene.timings().grantMillis())
-                                .setExpectedPrefillTokens(
-                                        account.prefixes().missingTokens(waiting.prefixes(), waiting.promptTokens()))));
+                                .setExpectedPrefillTokens(account.prefixes()
+                                        .uncachedTokens(waiting.prefixes(), waiting.promptTokens()))));
     }
 
     private void recall(Slot slot) {
         scene.count(
-                Measure.RECALLED, slot.waiting() == null ? 0 : slot.waiting().rank());
-        scene.toEntry(
+                SchedulerCounter.RECALLED,
+                slot.waiting() == null ? 0 : slot.waiting().rank());
+        scene.sendToEntry(
                 slot.home(),
                 Frame.newBuilder()
                         .setRecall(Recall.newBuilder()
@@ -354,9 +357,9 @@
                                 .setRequest(slot.request())));
     }
 
-    private void refuse(Waiting waiting, RefusalReason reason, long nowMillis) {
-        scene.count(Measure.REFUSED, reason);
-        scene.toEntry(
+    private void refuse(WaitingRequest waiting, RefusalReason reason, long nowMillis) {
+        scene.count(SchedulerCounter.REFUSED, reason);
+        scene.sendToEntry(
                 waiting.home(),
                 Frame.newBuilder()
                         .setRefusal(Refusal.newBuilder()
@@ -366,16 +369,16 @@
                                 .setComeBackMillis(comeBackMillis(waiting, reason, nowMillis))));
     }
 
-    private long comeBackMillis(Waiting waiting, RefusalReason reason, long nowMillis) {
+    private long comeBackMillis(WaitingRequest waiting, RefusalReason reason, long nowMillis) {
         if (reason == RefusalReason.NOT_OWNER || reason == RefusalReason.OWNER_LEAVING) {
             return 0;
         }
-        long drainMillis = waitMillis(waiting.rank(), nowMillis);
+        long drainMillis = estimatedWaitMillis(waiting.rank(), nowMillis);
         long comeBackMillis = drainMillis == 0 ? DEFAULT_COME_BACK_MILLIS : drainMillis;
         return Math.min(LONGEST_COME_BACK_MILLIS, Math.max(SHORTEST_COME_BACK_MILLIS, comeBackMillis));
     }
 
-    List<String> ownTargets() {
+    List<String> targetNames() {
         List<String> names = new ArrayList<>();
         targets.accounts().forEach(account -> names.add(account.name()));
         return names;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SliceReport.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SliceStatusReporter.java
@@ -1,7 +1,7 @@
 package org.whinwharf.owner;
 
 import java.util.Map;
-import org.whinwharf.owner.limit.Reading;
+import org.whinwharf.owner.limit.LoadReading;
 import org.whinwharf.owner.limit.TargetAccount;
 import org.whinwharf.owner.pledge.Share;
 import org.whinwharf.wire.message.Frame;
@@ -12,25 +12,25 @@
 import org.whinwharf.wire.status.TierQueue;
 
 /** Tells homes and operators how a slice stands. */
-final class SliceReport {
+final class SliceStatusReporter {
     private static final long FORGET_HOME_MILLIS = 10_000;
 
-    private SliceReport() {}
+    private SliceStatusReporter() {}
 
     /** Sends the status to the homes that were heard from lately, and forgets the others. */
-    static void send(SliceOwner owner, Scene scene, long nowMillis) {
-        owner.heardAtMillis().values().removeIf(heardMillis -> nowMillis - heardMillis > FORGET_HOME_MILLIS);
-        if (owner.heardAtMillis().isEmpty()) {
+    static void send(SliceOwner owner, SchedulerContext scene, long nowMillis) {
+        owner.lastContactMillis().values().removeIf(heardMillis -> nowMillis - heardMillis > FORGET_HOME_MILLIS);
+        if (owner.lastContactMillis().isEmpty()) {
             return;
         }
         SliceStatus status = status(owner, nowMillis);
-        for (HomeId home : owner.heardAtMillis().keySet()) {
-            scene.toEntry(home, Frame.newBuilder().setSliceStatus(status));
+        for (ProcessId home : owner.lastContactMillis().keySet()) {
+            scene.sendToEntry(home, Frame.newBuilder().setSliceStatus(status));
         }
     }
 
     static SliceState state(SliceOwner owner, long nowMillis) {
-        Share share = owner.book().share(nowMillis);
+        Share share = owner.pledges().share(nowMillis);
         SliceState.Builder state = SliceState.newBuilder()
                 .setService(owner.slice().getService())
                 .setDataCentre(owner.slice().getDataCentre())
@@ -45,8 +45,8 @@
     }
 
     private static SliceStatus status(SliceOwner owner, long nowMillis) {
-        int free = owner.targets().withRoom(nowMillis).stream()
-                .mapToInt(candidate -> candidate.room())
+        int free = owner.targets().candidates(nowMillis).stream()
+                .mapToInt(candidate -> candidate.freeSlots())
                 .sum();
         SliceStatus.Builder status = SliceStatus.newBuilder()
                 .setSlice(owner.slice())
@@ -57,21 +57,21 @@
         for (Map.Entry<Integer, Integer> tier : owner.queue().sizes().entrySet()) {
             status.addWaits(TierWait.newBuilder()
                     .setTierRank(tier.getKey())
-                    .setWaitMillis(owner.waitMillis(tier.getKey(), nowMillis)));
+                    .setWaitMillis(owner.estimatedWaitMillis(tier.getKey(), nowMillis)));
         }
         return status.build();
     }
 
     private static TargetState target(SliceOwner owner, TargetAccount account, long nowMillis) {
-        long ageMillis = account.reading()
-                .map(Reading::earliestMillis)
+        long ageMillis = account.lastReading()
+                .map(LoadReading::earliestMillis)
                 .map(measuredMillis -> nowMillis - measuredMillis)
                 .orElse(-1L);
         return TargetState.newBuilder()
                 .setName(account.name())
                 .setState(stateName(owner, account))
                 .setLimit(account.limit().value())
-                .setInFlight(account.taken())
+                .setInFlight(account.inFlight())
                 .setLoadAgeMillis(ageMillis)
                 .build();
     }
@@ -80,12 +80,12 @@
         if (!owner.targets().isUsable(account.name())) {
             return "leaving";
         }
-        if (account.reading().isEmpty()) {
+        if (account.lastReading().isEmpty()) {
             return "unknown";
         }
         if (account.limit().isCold()) {
             return "cold";
         }
-        return account.limit().isLearning() ? "warming" : "warm";
+        return account.limit().isInSlowStart() ? "warming" : "warm";
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SliceTargets.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SliceTargets.java
@@ -12,8 +12,8 @@
 import org.whinwharf.owner.limit.TargetAccount;
 import org.whinwharf.owner.limit.UsableShare;
 import org.whinwharf.owner.placement.Candidate;
-import org.whinwharf.owner.pledge.PledgeBook;
-import org.whinwharf.owner.queue.Waiting;
+import org.whinwharf.owner.pledge.HeldPledges;
+import org.whinwharf.owner.queue.WaitingRequest;
 import org.whinwharf.wire.message.Finished;
 import org.whinwharf.wire.message.InFlight;
 import org.whinwharf.wire.message.SliceId;
@@ -23,12 +23,12 @@
 /** Targets of one slice as its owner knows them. */
 final class SliceTargets {
     private final SliceId slice;
-    private final Scene scene;
-    private final PledgeBook book;
+    private final SchedulerContext scene;
+    private final HeldPledges book;
     private final Map<String, TargetAccount> accounts = new TreeMap<>();
     private final Map<String, Boolean> usable = new LinkedHashMap<>();
 
-    SliceTargets(SliceId slice, Scene scene, PledgeBook book) {
+    SliceTargets(SliceId slice, SchedulerContext scene, HeldPledges book) {
         this.slice = slice;
         this.scene = scene;
         this.book = book;
@@ -61,18 +61,18 @@
             Limits limits = scene.service(slice.getService()).getLimits();
             accounts.computeIfAbsent(name, key -> new TargetAccount(key, limits))
                     .limit()
-                    .bounds(limits);
+                    .updateBounds(limits);
             if (now && !before.getOrDefault(name, true)) {
-                accounts.get(name).comeBack();
+                accounts.get(name).returnToService();
             }
         }
-        accounts.values().removeIf(account -> !usable.containsKey(account.name()) && account.taken() == 0);
+        accounts.values().removeIf(account -> !usable.containsKey(account.name()) && account.inFlight() == 0);
     }
 
-    List<Candidate> withRoom(long nowMillis) {
+    List<Candidate> candidates(long nowMillis) {
         List<Candidate> candidates = new ArrayList<>();
         for (TargetAccount account : accounts.values()) {
-            int room = room(account, nowMillis);
+            int room = freeSlots(account, nowMillis);
             if (room > 0) {
                 candidates.add(new Candidate(account, room));
             }
@@ -80,60 +80,60 @@
         return candidates;
     }
 
-    int room(TargetAccount account, long nowMillis) {
-        return isUsable(account.name()) ? account.room(share(account, nowMillis), scene.timings(), nowMillis) : 0;
+    int freeSlots(TargetAccount account, long nowMillis) {
+        return isUsable(account.name()) ? account.freeSlots(share(account, nowMillis), scene.timings(), nowMillis) : 0;
     }
 
-    Optional<Slot> finish(HomeId home, Finished finished, long nowMillis) {
+    Optional<Slot> finish(ProcessId home, Finished finished, long nowMillis) {
         Optional<TargetAccount> account = account(finished.getTarget());
         Optional<Slot> slot = account.flatMap(found -> found.finish(home, finished, scene.timings(), nowMillis));
         if (slot.isPresent() && !usable.containsKey(finished.getTarget())) {
-            accounts.values().removeIf(gone -> !usable.containsKey(gone.name()) && gone.taken() == 0);
+            accounts.values().removeIf(gone -> !usable.containsKey(gone.name()) && gone.inFlight() == 0);
         }
         return slot;
     }
 
-    void adopt(HomeId home, List<InFlight> inFlight, long nowMillis) {
+    void adopt(ProcessId home, List<InFlight> inFlight, long nowMillis) {
         for (InFlight request : inFlight) {
             account(request.getTarget()).ifPresent(account -> account.adopt(home, request.getRequest(), nowMillis));
         }
     }
 
-    void orphan(HomeId home, long nowMillis) {
+    void orphan(ProcessId home, long nowMillis) {
         accounts.values().forEach(account -> account.orphan(home, scene.timings(), nowMillis));
     }
 
-    void orphan(HomeId home, long request, long nowMillis) {
+    void orphan(ProcessId home, long request, long nowMillis) {
         accounts.values().forEach(account -> account.orphan(home, request, scene.timings(), nowMillis));
     }
 
-    void abandonOrphans(long nowMillis) {
-        accounts.values().forEach(account -> account.abandonOrphans(nowMillis));
+    void expireOrphans(long nowMillis) {
+        accounts.values().forEach(account -> account.expireOrphans(nowMillis));
     }
 
     void recallFromUnusable(long nowMillis, Consumer<Slot> recall) {
         for (TargetAccount account : accounts.values()) {
             if (!isUsable(account.name())) {
-                account.recall(nowMillis).forEach(recall);
+                account.recallUnused(nowMillis).forEach(recall);
             }
         }
     }
 
     void recallAll(long nowMillis, Consumer<Slot> recall) {
-        accounts.values().forEach(account -> account.recall(nowMillis).forEach(recall));
+        accounts.values().forEach(account -> account.recallUnused(nowMillis).forEach(recall));
     }
 
-    boolean hasUnused(long nowMillis) {
-        return accounts.values().stream().anyMatch(account -> account.hasUnused(nowMillis));
+    boolean hasUnusedGrants(long nowMillis) {
+        return accounts.values().stream().anyMatch(account -> account.hasUnusedGrants(nowMillis));
     }
 
     /** Predicts how long the request takes at the best target; 0 when no target's speed is known. */
-    double bestMillis(Waiting waiting, long nowMillis) {
+    double minPredictedMillis(WaitingRequest waiting, long nowMillis) {
         return accounts.values().stream()
-                .filter(account -> isUsable(account.name()) && account.speed().isFresh(nowMillis))
+                .filter(account -> isUsable(account.name()) && account.speed().hasRecentSample(nowMillis))
                 .mapToDouble(account -> account.speed()
                         .predictMillis(
-                                account.prefixes().missingTokens(waiting.prefixes(), waiting.promptTokens()),
+                                account.prefixes().uncachedTokens(waiting.prefixes(), waiting.promptTokens()),
                                 waiting.answerTokens()))
                 .min()
                 .orElse(0);
@@ -148,8 +148,8 @@
     }
 
     private UsableShare share(TargetAccount account, long nowMillis) {
-        return (limit, measuredAtMillis) -> scene.views().isSettled(account.name(), slice, measuredAtMillis)
-                ? book.usable(limit, measuredAtMillis, nowMillis)
+        return (limit, measuredAtMillis) -> scene.views().belongsInAllViews(account.name(), slice, measuredAtMillis)
+                ? book.usableSlots(limit, measuredAtMillis, nowMillis)
                 : 0;
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/Timings.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/Timings.java
@@ -20,7 +20,7 @@
         int clockRatePpm,
         long floorWaitMillis) {
     /** Time that a request sent in the last instant of its grant may take until its target counts it. */
-    public static final long TRANSIT_MILLIS = 250;
+    public static final long MAX_TRANSIT_MILLIS = 250;
 
     private static final long STALE_READINGS = 3;
     private static final double PARTS = 1_000_000;
@@ -47,7 +47,7 @@
      * @param millis duration by the other clock
      * @return upper bound in milliseconds
      */
-    public long longest(long millis) {
+    public long upperBoundMillis(long millis) {
         return millis + (long) Math.ceil(millis * (clockRatePpm / PARTS));
     }
 
@@ -57,7 +57,7 @@
      * @param millis duration by the other clock
      * @return lower bound in milliseconds
      */
-    public long shortest(long millis) {
+    public long lowerBoundMillis(long millis) {
         return millis - (long) Math.ceil(millis * (clockRatePpm / PARTS));
     }
 
@@ -66,8 +66,8 @@
      *
      * @return milliseconds by the owner's clock
      */
-    public long grantRunOutMillis() {
-        return longest(grantMillis) + TRANSIT_MILLIS;
+    public long grantExpiryMillis() {
+        return upperBoundMillis(grantMillis) + MAX_TRANSIT_MILLIS;
     }
 
     /**
@@ -75,7 +75,7 @@
      *
      * @return milliseconds
      */
-    public long staleLoadMillis() {
+    public long maxLoadAgeMillis() {
         return STALE_READINGS * Math.max(loadLagMillis, grantMillis);
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/floor/Floors.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/floor/AdmissionFloors.java
@@ -17,9 +17,9 @@
  * that it reaches have cleared what waits below, or when the wait for them is over. Without this an owner with a full
  * queue would turn away a high tier while the owner of the next slice keeps a low one.
  */
-public final class Floors {
+public final class AdmissionFloors {
     /** How long a floor stands at others without being renewed. */
-    public static final long GOOD_MILLIS = 3_000;
+    public static final long VALIDITY_MILLIS = 3_000;
 
     private static final long RENEW_MILLIS = 1_000;
     private static final long LINGER_MILLIS = 2_000;
@@ -33,7 +33,7 @@
      *
      * @param firstFloor number of the first floor that is raised; differs between processes
      */
-    public Floors(long firstFloor) {
+    public AdmissionFloors(long firstFloor) {
         this.nextFloor = firstFloor;
     }
 
@@ -45,7 +45,7 @@
      * @param nowMillis time now
      * @return true when the floor is new or higher than before, so that others must be told
      */
-    public boolean need(String service, int rank, long nowMillis) {
+    public boolean raise(String service, int rank, long nowMillis) {
         Raised old = raised.get(service);
         if (old != null && old.rank >= rank) {
             old.neededAtMillis = nowMillis;
@@ -61,7 +61,7 @@
      * @param service the service
      * @param nowMillis time now
      */
-    public void keep(String service, long nowMillis) {
+    public void extend(String service, long nowMillis) {
         Raised floor = raised.get(service);
         if (floor != null) {
             floor.neededAtMillis = nowMillis;
@@ -83,7 +83,7 @@
         return FloorRaise.newBuilder()
                 .setService(service)
                 .setRank(floor.rank)
-                .setGoodMillis(GOOD_MILLIS)
+                .setGoodMillis(VALIDITY_MILLIS)
                 .setFloor(floor.floor)
                 .build();
     }
@@ -94,7 +94,7 @@
      * @param nowMillis time now
      * @return names of services
      */
-    public List<String> due(long nowMillis) {
+    public List<String> servicesToAnnounce(long nowMillis) {
         List<String> due = new ArrayList<>();
         raised.forEach((service, floor) -> {
             if (nowMillis - floor.announcedAtMillis >= RENEW_MILLIS) {
@@ -110,7 +110,7 @@
      * @param nowMillis time now
      * @return numbers of the lowered floors, by service
      */
-    public Map<String, Long> lower(long nowMillis) {
+    public Map<String, Long> lowerUnneeded(long nowMillis) {
         Map<String, Long> lowered = new HashMap<>();
         raised.entrySet().removeIf(entry -> {
             boolean over = nowMillis - entry.getValue().neededAtMillis > LINGER_MILLIS;
@@ -129,7 +129,7 @@
      * @param host host of the owner
      * @param cleared its answer
      */
-    public void cleared(String host, FloorCleared cleared) {
+    public void recordCleared(String host, FloorCleared cleared) {
         Raised floor = raised.get(cleared.getService());
         if (floor != null && floor.floor == cleared.getFloor()) {
             floor.cleared.add(host);
@@ -163,7 +163,7 @@
      * @param raise the message
      * @param nowMillis time now
      */
-    public void stand(String host, FloorRaise raise, long nowMillis) {
+    public void addRemote(String host, FloorRaise raise, long nowMillis) {
         Standing key = new Standing(host, raise.getService(), raise.getFloor());
         standing.put(key, new Until(raise.getRank(), nowMillis + raise.getGoodMillis()));
     }
@@ -175,7 +175,7 @@
      * @param service the service
      * @param floor number of the floor
      */
-    public void end(String host, String service, long floor) {
+    public void removeRemote(String host, String service, long floor) {
         standing.remove(new Standing(host, service, floor));
     }
 
@@ -186,7 +186,7 @@
      * @param nowMillis time now
      * @return the highest rank of all floors that stand; 0 when none does
      */
-    public int rank(String service, long nowMillis) {
+    public int effectiveRank(String service, long nowMillis) {
         Raised own = raised.get(service);
         int rank = own == null ? 0 : own.rank;
         for (Map.Entry<Standing, Until> entry : standing.entrySet()) {
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/Sample.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/CompletionSample.java
@@ -9,4 +9,5 @@
  * @param promptTokens prompt tokens in all
  * @param answerTokens tokens of the answer
  */
-public record Sample(long firstTokenMillis, long totalMillis, int prefillTokens, int promptTokens, int answerTokens) {}
+public record CompletionSample(
+        long firstTokenMillis, long totalMillis, int prefillTokens, int promptTokens, int answerTokens) {}
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ConcurrencyLimit.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ConcurrencyLimit.java
@@ -35,7 +35,7 @@
      */
     public ConcurrencyLimit(Limits limits) {
         this.limits = limits;
-        cold();
+        resetToCold();
     }
 
     /**
@@ -43,7 +43,7 @@
      *
      * @param newLimits bounds of the document, absent values filled in
      */
-    public void bounds(Limits newLimits) {
+    public void updateBounds(Limits newLimits) {
         if (!newLimits.equals(limits)) {
             limits = newLimits;
             value = Math.min(value, limits.getMost());
@@ -74,12 +74,12 @@
      *
      * @return true until the first step back, or until the bound is reached
      */
-    public boolean isLearning() {
+    public boolean isInSlowStart() {
         return value < slowStartUntil;
     }
 
     /** Falls back to the cold value and forgets how fast the target was. */
-    public void cold() {
+    public void resetToCold() {
         value = Math.min(limits.getCold(), limits.getMost());
         slowStartUntil = limits.getMost();
         credit = 0;
@@ -90,7 +90,7 @@
     }
 
     /** Halves the limit after the target refused a request. */
-    public void refused() {
+    public void onRefused() {
         shrink(HALF);
     }
 
@@ -100,7 +100,7 @@
      *
      * @param running requests that the target ran while others waited there
      */
-    public void queued(int running) {
+    public void onQueued(int running) {
         int bears = Math.max(Math.min(limits.getCold(), limits.getMost()), running);
         if (value > bears) {
             value = bears;
@@ -117,12 +117,12 @@
      * @param wasFull true when the limit was nearly used up while it ran, so that the sample says something about
      *     growth
      */
-    public void completed(Sample sample, boolean wasFull) {
+    public void onCompleted(CompletionSample sample, boolean wasFull) {
         double unitMillis = unitMillis(sample);
         if (isSuddenlySlow(unitMillis)) {
             suddenlySlow++;
             if (suddenlySlow >= COLD_SAMPLES) {
-                cold();
+                resetToCold();
             }
             return;
         }
@@ -136,7 +136,7 @@
         }
     }
 
-    private static double unitMillis(Sample sample) {
+    private static double unitMillis(CompletionSample sample) {
         double work = BASE_WORK + sample.answerTokens() + sample.prefillTokens() * PREFILL_WORK;
         return Math.max(1, sample.totalMillis()) / work;
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ForeignWork.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ForeignLoadEstimator.java
@@ -13,48 +13,48 @@
  * work under it, so the bound of an old reading still holds, and the smallest of the last readings is used. Readings
  * older than a pledge say nothing about what was granted before the pledge.
  */
-final class ForeignWork {
+final class ForeignLoadEstimator {
     private static final int MOST_READINGS = 16;
     private static final int MOST_ENDED = 256;
 
     private final Deque<Bound> bounds = new ArrayDeque<>();
-    private final Deque<Ended> ended = new ArrayDeque<>();
+    private final Deque<Ended> addEnded = new ArrayDeque<>();
     private Bound best;
 
-    void restarted() {
+    void reset() {
         bounds.clear();
-        ended.clear();
+        addEnded.clear();
         best = null;
     }
 
-    void read(Reading reading, List<Slot> slots, Timings timings) {
+    void addReading(LoadReading reading, List<Slot> slots, Timings timings) {
         bounds.addLast(new Bound(reading));
         if (bounds.size() > MOST_READINGS) {
             keep(bounds.removeFirst());
         }
         long oldestMillis = bounds.getFirst().reading.earliestMillis();
-        ended.removeIf(end -> end.endedAtMillis() < oldestMillis);
+        addEnded.removeIf(end -> end.endedAtMillis() < oldestMillis);
         for (Bound bound : bounds) {
-            bound.count(slots, ended, timings);
+            bound.count(slots, addEnded, timings);
         }
     }
 
-    void ended(Slot slot, long totalMillis, boolean sent, long nowMillis) {
-        ended.addLast(new Ended(slot.grantedAtMillis(), nowMillis, totalMillis, sent));
-        if (ended.size() > MOST_ENDED) {
-            ended.removeFirst();
+    void addEnded(Slot slot, long totalMillis, boolean sent, long nowMillis) {
+        addEnded.addLast(new Ended(slot.grantedAtMillis(), nowMillis, totalMillis, sent));
+        if (addEnded.size() > MOST_ENDED) {
+            addEnded.removeFirst();
         }
     }
 
     /** Adds requests that were counted as the owner's own and whose end it will never hear of. */
-    void abandoned(int count) {
+    void addAbandoned(int count) {
         bounds.forEach(bound -> bound.extra += count);
         if (best != null) {
             best.extra += count;
         }
     }
 
-    int bound(int limit, UsableShare share) {
+    int upperBound(int limit, UsableShare share) {
         int smallest = best == null ? Integer.MAX_VALUE : best.now(limit, share);
         for (Bound bound : bounds) {
             smallest = Math.min(smallest, bound.now(limit, share));
@@ -63,9 +63,9 @@
     }
 
     /** Returns how many requests the last reading shows that cannot be the owner's own. */
-    int surely(Reading last, int ownSlots) {
+    int lowerBound(LoadReading last, int ownSlots) {
         int maybeOwn = ownSlots;
-        for (Ended end : ended) {
+        for (Ended end : addEnded) {
             if (end.endedAtMillis() >= last.earliestMillis()) {
                 maybeOwn++;
             }
@@ -83,20 +83,20 @@
         // The home measured how long the request ran: so it was sent that long before its end was heard of at the
         // latest,
         // and it ended that long after its grant at the earliest.
-        boolean surelyAt(Reading reading, Timings timings) {
-            long ranMillis = timings.shortest(totalMillis);
+        boolean surelyAt(LoadReading reading, Timings timings) {
+            long ranMillis = timings.lowerBoundMillis(totalMillis);
             return sent
-                    && endedAtMillis - ranMillis + Timings.TRANSIT_MILLIS <= reading.earliestMillis()
+                    && endedAtMillis - ranMillis + Timings.MAX_TRANSIT_MILLIS <= reading.earliestMillis()
                     && reading.latestMillis() <= grantedAtMillis + ranMillis;
         }
     }
 
     private static final class Bound {
-        private final Reading reading;
+        private final LoadReading reading;
         private int foreign;
         private int extra;
 
-        Bound(Reading reading) {
+        Bound(LoadReading reading) {
             this.reading = reading;
             this.foreign = reading.total();
         }
@@ -104,7 +104,7 @@
         void count(List<Slot> slots, Deque<Ended> ended, Timings timings) {
             int own = 0;
             for (Slot slot : slots) {
-                if (slot.surelySentAtMillis() <= reading.earliestMillis()) {
+                if (slot.latestArrivalMillis() <= reading.earliestMillis()) {
                     own++;
                 }
             }
@@ -123,7 +123,7 @@
 
         // Others may have granted, since the reading, what this owner could not use at the time of the reading.
         int now(int limit, UsableShare share) {
-            int usable = share.of(limit, reading.earliestMillis());
+            int usable = share.usableSlots(limit, reading.earliestMillis());
             return usable <= 0 ? Integer.MAX_VALUE : Math.max(total(), limit - usable);
         }
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/Reading.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/LoadReading.java
@@ -13,7 +13,7 @@
  * @param latestMillis latest instant at which it can have been measured, by the owner's clock
  * @param models models that the target serves; empty when it does not say
  */
-public record Reading(
+public record LoadReading(
         long startNumber, int total, int queued, long earliestMillis, long latestMillis, List<String> models) {
     /**
      * Reads an answer of a target.
@@ -23,8 +23,8 @@
      * @param answeredAtMillis when the answer came
      * @return the reading
      */
-    public static Reading of(TargetLoad load, long askedAtMillis, long answeredAtMillis) {
-        return new Reading(
+    public static LoadReading of(TargetLoad load, long askedAtMillis, long answeredAtMillis) {
+        return new LoadReading(
                 load.getStartNumber(),
                 load.getRunning() + load.getQueued(),
                 load.getQueued(),
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/Slot.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/Slot.java
@@ -1,37 +1,37 @@
 package org.whinwharf.owner.limit;
 
-import org.whinwharf.owner.HomeId;
-import org.whinwharf.owner.queue.Waiting;
+import org.whinwharf.owner.ProcessId;
+import org.whinwharf.owner.queue.WaitingRequest;
 
 /** One request that is, or may come to be, in flight at a target. Confined to the account that made it. */
 public final class Slot {
-    static final long NEVER = Long.MAX_VALUE;
+    static final long NO_EXPIRY = Long.MAX_VALUE;
 
-    private final HomeId home;
+    private final ProcessId home;
     private final long request;
     private final long grant;
     private final long grantedAtMillis;
-    private final long surelySentAtMillis;
-    private final Waiting waiting;
-    private final boolean full;
+    private final long latestArrivalMillis;
+    private final WaitingRequest waiting;
+    private final boolean limitReached;
     private boolean recalled;
-    private long orphanUntilMillis = NEVER;
+    private long orphanExpiryMillis = NO_EXPIRY;
 
     Slot(
-            HomeId home,
+            ProcessId home,
             long request,
             long grant,
             long grantedAtMillis,
             long surelySentAtMillis,
-            Waiting waiting,
+            WaitingRequest waiting,
             boolean full) {
         this.home = home;
         this.request = request;
         this.grant = grant;
         this.grantedAtMillis = grantedAtMillis;
-        this.surelySentAtMillis = surelySentAtMillis;
+        this.latestArrivalMillis = surelySentAtMillis;
         this.waiting = waiting;
-        this.full = full;
+        this.limitReached = full;
     }
 
     /**
@@ -39,7 +39,7 @@
      *
      * @return home
      */
-    public HomeId home() {
+    public ProcessId home() {
         return home;
     }
 
@@ -66,7 +66,7 @@
      *
      * @return the request as it waited; null for a request that an earlier owner granted
      */
-    public Waiting waiting() {
+    public WaitingRequest waiting() {
         return waiting;
     }
 
@@ -75,8 +75,8 @@
      *
      * @return true when it was
      */
-    public boolean full() {
-        return full;
+    public boolean limitReached() {
+        return limitReached;
     }
 
     boolean recalled() {
@@ -91,15 +91,15 @@
         return grantedAtMillis;
     }
 
-    long surelySentAtMillis() {
-        return surelySentAtMillis;
+    long latestArrivalMillis() {
+        return latestArrivalMillis;
     }
 
-    long orphanUntilMillis() {
-        return orphanUntilMillis;
+    long orphanExpiryMillis() {
+        return orphanExpiryMillis;
     }
 
     void orphan(long untilMillis) {
-        orphanUntilMillis = Math.min(orphanUntilMillis, untilMillis);
+        orphanExpiryMillis = Math.min(orphanExpiryMillis, untilMillis);
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/TargetAccount.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/TargetAccount.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Predicate;
-import org.whinwharf.owner.HomeId;
+import org.whinwharf.owner.ProcessId;
 import org.whinwharf.owner.Timings;
-import org.whinwharf.owner.placement.PrefixDigests;
+import org.whinwharf.owner.placement.CachedPrefixes;
 import org.whinwharf.owner.placement.TargetSpeed;
-import org.whinwharf.owner.queue.Waiting;
+import org.whinwharf.owner.queue.WaitingRequest;
 import org.whinwharf.wire.message.FinishKind;
 import org.whinwharf.wire.message.Finished;
 import org.whinwharf.wire.schema.Limits;
@@ -25,10 +25,10 @@
     private final String name;
     private final ConcurrencyLimit limit;
     private final TargetSpeed speed = new TargetSpeed();
-    private final PrefixDigests prefixes = new PrefixDigests();
+    private final CachedPrefixes prefixes = new CachedPrefixes();
     private final List<Slot> slots = new ArrayList<>();
-    private final ForeignWork foreign = new ForeignWork();
-    private Reading last;
+    private final ForeignLoadEstimator foreign = new ForeignLoadEstimator();
+    private LoadReading last;
     private int queuedReadings;
     private int mostRunning;
     private long queuedAtMillis;
@@ -77,7 +77,7 @@
      *
      * @return prefixes
      */
-    public PrefixDigests prefixes() {
+    public CachedPrefixes prefixes() {
         return prefixes;
     }
 
@@ -86,7 +86,7 @@
      *
      * @return reading; empty when there is none since the target was last lost sight of
      */
-    public Optional<Reading> reading() {
+    public Optional<LoadReading> lastReading() {
         return Optional.ofNullable(last);
     }
 
@@ -95,7 +95,7 @@
      *
      * @return slots taken
      */
-    public int taken() {
+    public int inFlight() {
         return slots.size();
     }
 
@@ -120,13 +120,13 @@
      * @param nowMillis time now
      * @return free slots; 0 while the target is unknown
      */
-    public int room(UsableShare share, Timings timings, long nowMillis) {
-        if (!isKnown(timings, nowMillis)) {
+    public int freeSlots(UsableShare share, Timings timings, long nowMillis) {
+        if (!hasCurrentLoad(timings, nowMillis)) {
             return 0;
         }
         int bears = limit.value();
-        int usable = share.of(bears, last.earliestMillis());
-        int others = Math.max(foreign.bound(bears, share), foreign.surely(last, slots.size()));
+        int usable = share.usableSlots(bears, last.earliestMillis());
+        int others = Math.max(foreign.upperBound(bears, share), foreign.lowerBound(last, slots.size()));
         return Math.max(0, Math.min(usable, bears - Math.min(bears, others)) - slots.size());
     }
 
@@ -137,9 +137,9 @@
      * @param nowMillis time now
      * @return false when nothing may be sent to the target
      */
-    public boolean isKnown(Timings timings, long nowMillis) {
+    public boolean hasCurrentLoad(Timings timings, long nowMillis) {
         return last != null
-                && last.earliestMillis() >= nowMillis - timings.staleLoadMillis()
+                && last.earliestMillis() >= nowMillis - timings.maxLoadAgeMillis()
                 && last.earliestMillis() > suspectSinceMillis;
     }
 
@@ -152,8 +152,8 @@
      * @param timings times in force
      * @param nowMillis time now
      */
-    public void grant(Waiting waiting, long grant, boolean full, Timings timings, long nowMillis) {
-        long sentAtMillis = nowMillis + timings.grantRunOutMillis();
+    public void grant(WaitingRequest waiting, long grant, boolean full, Timings timings, long nowMillis) {
+        long sentAtMillis = nowMillis + timings.grantExpiryMillis();
         slots.add(new Slot(waiting.home(), waiting.request(), grant, nowMillis, sentAtMillis, waiting, full));
     }
 
@@ -164,7 +164,7 @@
      * @param request the request's id there
      * @param nowMillis time now
      */
-    public void adopt(HomeId home, long request, long nowMillis) {
+    public void adopt(ProcessId home, long request, long nowMillis) {
         if (slots.stream().noneMatch(slot -> slot.home().equals(home) && slot.request() == request)) {
             slots.add(new Slot(home, request, 0, nowMillis, nowMillis, null, false));
         }
@@ -179,7 +179,7 @@
      * @param nowMillis time now
      * @return the slot; empty when none was counted for it
      */
-    public Optional<Slot> finish(HomeId home, Finished finished, Timings timings, long nowMillis) {
+    public Optional<Slot> finish(ProcessId home, Finished finished, Timings timings, long nowMillis) {
         Optional<Slot> found = slots.stream()
                 .filter(slot -> slot.home().equals(home)
                         && slot.request() == finished.getRequest()
@@ -197,7 +197,7 @@
      * @param timings times in force
      * @param nowMillis time now
      */
-    public void orphan(HomeId home, Timings timings, long nowMillis) {
+    public void orphan(ProcessId home, Timings timings, long nowMillis) {
         orphan(slot -> slot.home().equals(home), timings, nowMillis);
     }
 
@@ -209,7 +209,7 @@
      * @param timings times in force
      * @param nowMillis time now
      */
-    public void orphan(HomeId home, long request, Timings timings, long nowMillis) {
+    public void orphan(ProcessId home, long request, Timings timings, long nowMillis) {
         orphan(slot -> slot.home().equals(home) && slot.request() == request, timings, nowMillis);
     }
 
@@ -218,12 +218,12 @@
      *
      * @param nowMillis time now
      */
-    public void abandonOrphans(long nowMillis) {
+    public void expireOrphans(long nowMillis) {
         int before = slots.size();
-        slots.removeIf(slot -> slot.orphanUntilMillis() <= nowMillis);
+        slots.removeIf(slot -> slot.orphanExpiryMillis() <= nowMillis);
         int abandoned = before - slots.size();
         if (abandoned > 0) {
-            foreign.abandoned(abandoned);
+            foreign.addAbandoned(abandoned);
         }
     }
 
@@ -233,9 +233,9 @@
      * @param nowMillis time now
      * @return slots to call back
      */
-    public List<Slot> recall(long nowMillis) {
+    public List<Slot> recallUnused(long nowMillis) {
         List<Slot> unused = slots.stream()
-                .filter(slot -> !slot.recalled() && nowMillis < slot.surelySentAtMillis())
+                .filter(slot -> !slot.recalled() && nowMillis < slot.latestArrivalMillis())
                 .toList();
         unused.forEach(Slot::recall);
         return unused;
@@ -247,8 +247,8 @@
      * @param nowMillis time now
      * @return true when one may
      */
-    public boolean hasUnused(long nowMillis) {
-        return slots.stream().anyMatch(slot -> nowMillis < slot.surelySentAtMillis());
+    public boolean hasUnusedGrants(long nowMillis) {
+        return slots.stream().anyMatch(slot -> nowMillis < slot.latestArrivalMillis());
     }
 
     /**
@@ -259,8 +259,8 @@
      * @param answeredAtMillis when the answer came
      * @param timings times in force
      */
-    public void read(TargetLoad load, long askedAtMillis, long answeredAtMillis, Timings timings) {
-        Reading reading = Reading.of(load, askedAtMillis, answeredAtMillis);
+    public void addReading(TargetLoad load, long askedAtMillis, long answeredAtMillis, Timings timings) {
+        LoadReading reading = LoadReading.of(load, askedAtMillis, answeredAtMillis);
         if (last != null && reading.earliestMillis() < last.earliestMillis()) {
             return;
         }
@@ -269,13 +269,13 @@
         }
         last = reading;
         queueSeen(reading);
-        foreign.read(reading, slots, timings);
+        foreign.addReading(reading, slots, timings);
     }
 
     // A request that has just arrived shows as queued for a moment although a place is free. Were a single reading
     // believed, the limit would fall whenever one is taken at such a moment, and engines would stand half idle; so only
     // a queue that several readings in a row show counts, and the most that ran meanwhile.
-    private void queueSeen(Reading reading) {
+    private void queueSeen(LoadReading reading) {
         if (reading.queued() == 0) {
             queuedReadings = 0;
             mostRunning = 0;
@@ -288,42 +288,42 @@
         queuedReadings++;
         mostRunning = Math.max(mostRunning, reading.total() - reading.queued());
         if (queuedReadings >= QUEUED_READINGS) {
-            limit.queued(mostRunning);
+            limit.onQueued(mostRunning);
         }
     }
 
     /** Notes that the target's load could not be read; nothing is granted until it can be. */
-    public void unreadable() {
+    public void loadUnavailable() {
         if (last != null) {
             suspectSinceMillis = Math.max(suspectSinceMillis, last.earliestMillis());
         }
     }
 
     /** Forgets what depends on the target having run all the time; for a target that comes back into service. */
-    public void comeBack() {
-        limit.cold();
+    public void returnToService() {
+        limit.resetToCold();
     }
 
     private void restarted() {
         queuedReadings = 0;
         mostRunning = 0;
-        limit.cold();
+        limit.resetToCold();
         prefixes.clear();
-        foreign.restarted();
+        foreign.reset();
     }
 
     private void orphan(Predicate<Slot> which, Timings timings, long nowMillis) {
-        long untilMillis = nowMillis + timings.grantRunOutMillis();
+        long untilMillis = nowMillis + timings.grantExpiryMillis();
         slots.stream().filter(which).forEach(slot -> slot.orphan(untilMillis));
     }
 
     private void end(Slot slot, Finished finished, Timings timings, long nowMillis) {
         slots.remove(slot);
         boolean unused = finished.getKind() == FinishKind.UNUSED;
-        foreign.ended(slot, finished.getTotalMillis(), !unused, nowMillis);
-        if (unused && slot.surelySentAtMillis() <= nowMillis) {
+        foreign.addEnded(slot, finished.getTotalMillis(), !unused, nowMillis);
+        if (unused && slot.latestArrivalMillis() <= nowMillis) {
             // It was subtracted from readings as surely sent, and it was not.
-            foreign.abandoned(1);
+            foreign.addAbandoned(1);
         }
         learn(slot, finished, nowMillis);
     }
@@ -332,13 +332,13 @@
         switch (finished.getKind()) {
             case COMPLETED -> completed(slot, finished, nowMillis);
             case REFUSED_BY_TARGET -> {
-                limit.refused();
+                limit.onRefused();
                 suspectSinceMillis = nowMillis;
             }
             case FAILED -> suspectSinceMillis = nowMillis;
             case LOST -> {
                 // The link broke, the work may go on; only a reading taken from now on shows it.
-                foreign.abandoned(1);
+                foreign.addAbandoned(1);
                 suspectSinceMillis = nowMillis;
             }
             default -> {
@@ -348,16 +348,16 @@
     }
 
     private void completed(Slot slot, Finished finished, long nowMillis) {
-        Sample sample = new Sample(
+        CompletionSample sample = new CompletionSample(
                 finished.getFirstTokenMillis(),
                 finished.getTotalMillis(),
                 finished.getPrefillTokens(),
                 finished.getPromptTokens(),
                 finished.getAnswerTokens());
-        limit.completed(sample, slot.full());
-        speed.completed(sample, nowMillis);
+        limit.onCompleted(sample, slot.limitReached());
+        speed.addSample(sample, nowMillis);
         if (slot.waiting() != null) {
-            prefixes.served(slot.waiting().prefixes());
+            prefixes.addServed(slot.waiting().prefixes());
         }
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/UsableShare.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/UsableShare.java
@@ -10,5 +10,5 @@
      * @param measuredAtMillis when the target's load was measured
      * @return requests that the owner may have in flight
      */
-    int of(int limit, long measuredAtMillis);
+    int usableSlots(int limit, long measuredAtMillis);
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/PrefixDigests.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/CachedPrefixes.java
@@ -13,7 +13,7 @@
  * may be wrong either way: a missed "stored" is made good by what the target served itself, a missed "dropped" by the
  * bound on what is remembered, least recently used first.
  */
-public final class PrefixDigests {
+public final class CachedPrefixes {
     /** Prompt tokens that one more digest stands for. */
     public static final int BLOCK_TOKENS = 64;
 
@@ -23,12 +23,12 @@
 
     private final Map<Long, Boolean> held = new Recent();
     private long startNumber;
-    private long lastNumber;
+    private long lastEventNumber;
 
     /** Forgets all, for example after the target started anew. */
     public void clear() {
         held.clear();
-        lastNumber = 0;
+        lastEventNumber = 0;
     }
 
     /**
@@ -36,8 +36,8 @@
      *
      * @return number; 0 when none was seen
      */
-    public long lastNumber() {
-        return lastNumber;
+    public long lastEventNumber() {
+        return lastEventNumber;
     }
 
     /**
@@ -45,13 +45,13 @@
      *
      * @param events the target's answer
      */
-    public void read(CacheEvents events) {
+    public void applyEvents(CacheEvents events) {
         if (events.getStartNumber() != startNumber) {
             clear();
             startNumber = events.getStartNumber();
         }
         for (CacheEvent event : events.getEventsList()) {
-            lastNumber = Math.max(lastNumber, event.getNumber());
+            lastEventNumber = Math.max(lastEventNumber, event.getNumber());
             parse(event);
         }
     }
@@ -63,7 +63,7 @@
      * @param promptTokens tokens of the prompt
      * @return tokens to prefill
      */
-    public int missingTokens(List<Long> prefixes, int promptTokens) {
+    public int uncachedTokens(List<Long> prefixes, int promptTokens) {
         int blocks = 0;
         for (Long prefix : prefixes) {
             if (held.get(prefix) == null) {
@@ -79,7 +79,7 @@
      *
      * @param prefixes digests of its prompt's prefixes, shortest first
      */
-    public void served(List<Long> prefixes) {
+    public void addServed(List<Long> prefixes) {
         // Served prompts are in the cache now, whatever was believed before and whatever their events say later.
         prefixes.forEach(prefix -> held.put(prefix, Boolean.TRUE));
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/Candidate.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/Candidate.java
@@ -6,15 +6,15 @@
  * Target with a free slot.
  *
  * @param account what is known of it
- * @param room requests that may still be granted there
+ * @param freeSlots requests that may still be granted there
  */
-public record Candidate(TargetAccount account, int room) {
+public record Candidate(TargetAccount account, int freeSlots) {
     /**
      * Returns the candidate after one more grant.
      *
      * @return candidate with less room
      */
-    public Candidate less() {
-        return new Candidate(account, room - 1);
+    public Candidate afterGrant() {
+        return new Candidate(account, freeSlots - 1);
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/PlacementState.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/PlacementState.java
@@ -3,7 +3,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** What a {@link Placement} remembers between two choices. */
+/** What a {@link PlacementStrategy} remembers between two choices. */
 public final class PlacementState {
     private final UniformRandomProvider random;
     private long sequence;
@@ -17,7 +17,7 @@
         random = RandomSource.SPLIT_MIX_64.create(seed);
     }
 
-    int next(int bound) {
+    int nextInTurn(int bound) {
         return (int) (sequence++ % bound);
     }
 
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/Placement.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/PlacementStrategy.java
@@ -4,30 +4,30 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
-import org.whinwharf.owner.limit.Reading;
+import org.whinwharf.owner.limit.LoadReading;
 import org.whinwharf.owner.limit.TargetAccount;
-import org.whinwharf.owner.queue.Waiting;
+import org.whinwharf.owner.queue.WaitingRequest;
 
 /** Ways to choose among the targets of a slice that have a free slot. */
-public enum Placement {
+public enum PlacementStrategy {
     /** Takes the targets in turn. */
     ROUND_ROBIN {
         @Override
-        public Candidate choose(List<Candidate> candidates, Waiting waiting, PlacementState state) {
-            return candidates.get(state.next(candidates.size()));
+        public Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state) {
+            return candidates.get(state.nextInTurn(candidates.size()));
         }
     },
     /** Takes the target that last reported the least load. */
     LEAST_REPORTED {
         @Override
-        public Candidate choose(List<Candidate> candidates, Waiting waiting, PlacementState state) {
+        public Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state) {
             return least(candidates, candidate -> reported(candidate.account()));
         }
     },
     /** Takes the less loaded of two random targets. */
     TWO_CHOICES {
         @Override
-        public Candidate choose(List<Candidate> candidates, Waiting waiting, PlacementState state) {
+        public Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state) {
             Candidate one = candidates.get(state.random(candidates.size()));
             Candidate other = candidates.get(state.random(candidates.size()));
             return reported(other.account()) < reported(one.account()) ? other : one;
@@ -36,7 +36,7 @@
     /** Takes the target with the least expected time, counting the prefill that its cache spares. */
     SCORE {
         @Override
-        public Candidate choose(List<Candidate> candidates, Waiting waiting, PlacementState state) {
+        public Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state) {
             Average average = Average.of(candidates);
             return least(candidates, candidate -> scoreMillis(candidate, waiting, average));
         }
@@ -51,7 +51,7 @@
      * @return the way
      * @throws IllegalArgumentException when there is none of this name
      */
-    public static Placement named(String name) {
+    public static PlacementStrategy fromSetting(String name) {
         return valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
     }
 
@@ -63,7 +63,7 @@
      * @param state what is remembered between choices
      * @return one of the candidates
      */
-    public abstract Candidate choose(List<Candidate> candidates, Waiting waiting, PlacementState state);
+    public abstract Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state);
 
     private static Candidate least(List<Candidate> candidates, ToDoubleFunction<Candidate> price) {
         return candidates.stream()
@@ -73,16 +73,16 @@
     }
 
     private static int reported(TargetAccount account) {
-        return account.reading().map(Reading::total).orElse(0);
+        return account.lastReading().map(LoadReading::total).orElse(0);
     }
 
-    private static double scoreMillis(Candidate candidate, Waiting waiting, Average average) {
+    private static double scoreMillis(Candidate candidate, WaitingRequest waiting, Average average) {
         TargetAccount account = candidate.account();
-        int missing = account.prefixes().missingTokens(waiting.prefixes(), waiting.promptTokens());
-        double aloneMillis = account.speed().isKnown()
+        int missing = account.prefixes().uncachedTokens(waiting.prefixes(), waiting.promptTokens());
+        double aloneMillis = account.speed().hasSamples()
                 ? account.speed().predictMillis(missing, waiting.answerTokens())
                 : average.predictMillis(missing, waiting);
-        double crowding = CROWDING * account.taken() / account.limit().value();
+        double crowding = CROWDING * account.inFlight() / account.limit().value();
         return aloneMillis * (1 + crowding);
     }
 
@@ -91,12 +91,12 @@
         static Average of(List<Candidate> candidates) {
             return new Average(candidates.stream()
                     .map(candidate -> candidate.account().speed())
-                    .filter(TargetSpeed::isKnown)
+                    .filter(TargetSpeed::hasSamples)
                     .toList());
         }
 
         // Where no speed is known, the prefill that a cache spares is all that tells targets apart.
-        double predictMillis(int missing, Waiting waiting) {
+        double predictMillis(int missing, WaitingRequest waiting) {
             return known.stream()
                     .mapToDouble(speed -> speed.predictMillis(missing, waiting.answerTokens()))
                     .average()
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/TargetSpeed.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/TargetSpeed.java
@@ -1,6 +1,6 @@
 package org.whinwharf.owner.placement;
 
-import org.whinwharf.owner.limit.Sample;
+import org.whinwharf.owner.limit.CompletionSample;
 
 /** Learned speed of one target. */
 public final class TargetSpeed {
@@ -21,7 +21,7 @@
      * @param sample what it took
      * @param nowMillis time now
      */
-    public void completed(Sample sample, long nowMillis) {
+    public void addSample(CompletionSample sample, long nowMillis) {
         samples++;
         learnedAtMillis = nowMillis;
         if (sample.answerTokens() < ENOUGH_TOKENS) {
@@ -43,7 +43,7 @@
      *
      * @return false before the first completed request
      */
-    public boolean isKnown() {
+    public boolean hasSamples() {
         return samples > 0;
     }
 
@@ -56,8 +56,8 @@
      * @param nowMillis time now
      * @return true when a request completed in the last ten seconds
      */
-    public boolean isFresh(long nowMillis) {
-        return isKnown() && nowMillis - learnedAtMillis <= FRESH_MILLIS;
+    public boolean hasRecentSample(long nowMillis) {
+        return hasSamples() && nowMillis - learnedAtMillis <= FRESH_MILLIS;
     }
 
     /**
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/PledgeBook.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/HeldPledges.java
@@ -9,9 +9,9 @@
 import org.whinwharf.wire.message.SliceId;
 
 /** Pledges that one would-be owner has of the voters of one slice. */
-public final class PledgeBook {
+public final class HeldPledges {
     private final SliceId slice;
-    private final Views views;
+    private final MembershipViews views;
     private final ShareRule rule;
     private final Map<String, Held> held = new HashMap<>();
     // Shares are asked for many times between two pledges; to look up each voter anew was most of a scheduler's work.
@@ -24,7 +24,7 @@
      * @param views views of the host list to count by
      * @param rule how pledges become parts of a limit
      */
-    public PledgeBook(SliceId slice, Views views, ShareRule rule) {
+    public HeldPledges(SliceId slice, MembershipViews views, ShareRule rule) {
         this.slice = slice;
         this.views = views;
         this.rule = rule;
@@ -40,7 +40,7 @@
      * @param timings times in force
      * @param nowMillis time now
      */
-    public void pledged(
+    public void add(
             String voter, long sentAtMillis, long goodMillis, long quietMillis, Timings timings, long nowMillis) {
         if (sentAtMillis > nowMillis) {
             // An echo that this process cannot have sent would make the pledge last longer than the voter's word.
@@ -48,9 +48,9 @@
         }
         // The voter's time starts when it gets the request, which is after it was sent; so this ends before the
         // voter's.
-        long untilMillis = sentAtMillis + timings.shortest(goodMillis);
+        long untilMillis = sentAtMillis + timings.lowerBoundMillis(goodMillis);
         // Grants of an earlier owner may put requests at a target until then; a load measured earlier may lack them.
-        long ripeAtMillis = nowMillis - timings.shortest(quietMillis) + timings.grantRunOutMillis();
+        long ripeAtMillis = nowMillis - timings.lowerBoundMillis(quietMillis) + timings.grantExpiryMillis();
         held.put(voter, new Held(untilMillis, ripeAtMillis));
         pledgesByView.clear();
     }
@@ -69,11 +69,11 @@
      * @param nowMillis time now
      * @return the smallest share over all views that count; 0 when there is none
      */
-    public int usable(int limit, long measuredAtMillis, long nowMillis) {
-        List<Membership> counted = views.counted(measuredAtMillis);
+    public int usableSlots(int limit, long measuredAtMillis, long nowMillis) {
+        List<Membership> counted = views.inForceAt(measuredAtMillis);
         int usable = counted.isEmpty() ? 0 : limit;
         for (Membership view : counted) {
-            usable = Math.min(usable, share(view, measuredAtMillis, nowMillis).of(limit, rule));
+            usable = Math.min(usable, share(view, measuredAtMillis, nowMillis).usableSlots(limit, rule));
         }
         return usable;
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/Views.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/MembershipViews.java
@@ -19,7 +19,7 @@
  * pledges by every view that it keeps. A process that has just started cannot know the views before its first list, so
  * for the same time it uses nothing. This covers lists that lag by no more than the bound in the document.
  */
-public final class Views {
+public final class MembershipViews {
     private final List<Replaced> replaced = new ArrayList<>();
     private Membership current;
     private List<Membership> onlyCurrent = List.of();
@@ -33,7 +33,8 @@
      * @param nowMillis time now
      */
     public void update(Membership membership, Timings timings, long nowMillis) {
-        long settledAtMillis = nowMillis + timings.longest(timings.listLagMillis()) + timings.grantRunOutMillis();
+        long settledAtMillis =
+                nowMillis + timings.upperBoundMillis(timings.listLagMillis()) + timings.grantExpiryMillis();
         if (current == null) {
             firstSettledAtMillis = settledAtMillis;
         } else {
@@ -50,8 +51,9 @@
      * @param timings times in force
      * @param nowMillis time now
      */
-    public void paused(Timings timings, long nowMillis) {
-        firstSettledAtMillis = nowMillis + timings.longest(timings.listLagMillis()) + timings.grantRunOutMillis();
+    public void resetAfterPause(Timings timings, long nowMillis) {
+        firstSettledAtMillis =
+                nowMillis + timings.upperBoundMillis(timings.listLagMillis()) + timings.grantExpiryMillis();
     }
 
     /**
@@ -84,7 +86,7 @@
      * @param measuredAtMillis time at which the target's load was measured
      * @return views; empty when nothing may be counted yet
      */
-    public List<Membership> counted(long measuredAtMillis) {
+    public List<Membership> inForceAt(long measuredAtMillis) {
         if (current == null || measuredAtMillis < firstSettledAtMillis) {
             return List.of();
         }
@@ -109,8 +111,8 @@
      * @param measuredAtMillis time at which the target's load was measured
      * @return false when the owner of another slice may still send to the target
      */
-    public boolean isSettled(String target, SliceId slice, long measuredAtMillis) {
-        List<Membership> counted = counted(measuredAtMillis);
+    public boolean belongsInAllViews(String target, SliceId slice, long measuredAtMillis) {
+        List<Membership> counted = inForceAt(measuredAtMillis);
         for (Membership view : counted) {
             if (!view.sliceOf(target).filter(slice::equals).isPresent()) {
                 return false;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/Share.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/Share.java
@@ -21,8 +21,8 @@
      * @param rule how parts are made
      * @return requests that the owner may have in flight there
      */
-    public int of(int limit, ShareRule rule) {
-        return rule.usable(limit, this);
+    public int usableSlots(int limit, ShareRule rule) {
+        return rule.usableSlots(limit, this);
     }
 
     boolean isMajority() {
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/ShareRule.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/ShareRule.java
@@ -5,14 +5,14 @@
     /** A majority uses the whole, anybody else nothing. */
     MAJORITY {
         @Override
-        int usable(int limit, Share share) {
+        int usableSlots(int limit, Share share) {
             return share.isMajority() ? limit : 0;
         }
     },
     /** Everybody uses its part, rounded down. */
     PROPORTIONAL {
         @Override
-        int usable(int limit, Share share) {
+        int usableSlots(int limit, Share share) {
             return part(limit, share.pledged(), share.voters());
         }
     },
@@ -22,14 +22,14 @@
      */
     REST_TO_MAJORITY {
         @Override
-        int usable(int limit, Share share) {
+        int usableSlots(int limit, Share share) {
             return share.isMajority()
                     ? limit - part(limit, share.voters() - share.pledged(), share.voters())
                     : part(limit, share.pledged(), share.voters());
         }
     };
 
-    abstract int usable(int limit, Share share);
+    abstract int usableSlots(int limit, Share share);
 
     private static int part(int limit, int count, int all) {
         return (int) ((long) limit * count / all);
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/Voter.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/Voter.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.HomeId;
+import org.whinwharf.owner.ProcessId;
 import org.whinwharf.owner.Timings;
 import org.whinwharf.wire.message.Pledge;
 import org.whinwharf.wire.message.PledgeRequest;
@@ -35,7 +35,8 @@
      * @param nowMillis time now
      * @return pledges and refusals
      */
-    public Pledge answer(HomeId asker, PledgeRequest request, Membership membership, Timings timings, long nowMillis) {
+    public Pledge answer(
+            ProcessId asker, PledgeRequest request, Membership membership, Timings timings, long nowMillis) {
         Pledge.Builder pledge = Pledge.newBuilder()
                 .setEchoMillis(request.getSentAtMillis())
                 .setGoodMillis(timings.pledgeMillis())
@@ -63,11 +64,11 @@
      * @param timings times in force
      * @param nowMillis time now
      */
-    public void release(HomeId holder, List<SliceId> slices, boolean clean, Timings timings, long nowMillis) {
+    public void release(ProcessId holder, List<SliceId> slices, boolean clean, Timings timings, long nowMillis) {
         for (SliceId slice : slices) {
             State state = states.get(slice);
             if (state != null && holder.equals(state.holder)) {
-                state.release(clean ? timings.grantRunOutMillis() - Timings.TRANSIT_MILLIS : 0, nowMillis);
+                state.release(clean ? timings.grantExpiryMillis() - Timings.MAX_TRANSIT_MILLIS : 0, nowMillis);
             }
         }
     }
@@ -91,7 +92,7 @@
     // at
     // the same time; so it waits until any pledge of its earlier start has run out.
     private long settledAtMillis(Timings timings) {
-        return startedAtMillis + timings.longest(timings.pledgeMillis());
+        return startedAtMillis + timings.upperBoundMillis(timings.pledgeMillis());
     }
 
     private static int rank(Membership membership, SliceId slice, String host) {
@@ -106,11 +107,11 @@
 
     /** What is pledged of one slice. */
     private static final class State {
-        private HomeId holder;
+        private ProcessId holder;
         private int holderRank;
         private long untilMillis;
         private long foreignUntilMillis;
-        private HomeId better;
+        private ProcessId better;
         private int betterRank;
         private long betterUntilMillis;
 
@@ -119,7 +120,7 @@
             this.foreignUntilMillis = settledAtMillis;
         }
 
-        boolean pledge(HomeId asker, int rank, Timings timings, long nowMillis) {
+        boolean pledge(ProcessId asker, int rank, Timings timings, long nowMillis) {
             boolean free = holder == null || untilMillis <= nowMillis;
             boolean mine = asker.equals(holder);
             if (betterWaits(asker, rank, nowMillis)) {
@@ -146,11 +147,11 @@
         // The holder would renew for ever and the host that comes first by the list would never get the slice; so
         // renewal
         // ends while a host that comes before it asks.
-        private boolean betterWaits(HomeId asker, int rank, long nowMillis) {
+        private boolean betterWaits(ProcessId asker, int rank, long nowMillis) {
             return better != null && !better.equals(asker) && betterRank < rank && nowMillis < betterUntilMillis;
         }
 
-        private void note(HomeId asker, int rank, long noteUntilMillis) {
+        private void note(ProcessId asker, int rank, long noteUntilMillis) {
             if (rank < holderRank) {
                 better = asker;
                 betterRank = rank;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/DrainRate.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/DrainRate.java
@@ -15,7 +15,7 @@
      * @param cost predicted cost of what completed
      * @param nowMillis time now
      */
-    public void completed(int cost, long nowMillis) {
+    public void addCompleted(int cost, long nowMillis) {
         if (firstAtMillis == Long.MIN_VALUE) {
             firstAtMillis = nowMillis;
             lastAtMillis = nowMillis;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/SliceQueue.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/SliceQueue.java
@@ -9,12 +9,12 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import org.whinwharf.owner.HomeId;
+import org.whinwharf.owner.ProcessId;
 
 /** Requests that wait in one slice: strict tiers, fair inside a tier. */
 public final class SliceQueue {
     private final TreeMap<Integer, TierQueue> tiers = new TreeMap<>(Comparator.reverseOrder());
-    private final Map<Waiting.Key, Waiting> byKey = new HashMap<>();
+    private final Map<WaitingRequest.Key, WaitingRequest> byKey = new HashMap<>();
 
     /**
      * Returns the number of waiting requests.
@@ -31,7 +31,7 @@
      * @param waiting the request
      * @return false when it waits already
      */
-    public boolean add(Waiting waiting) {
+    public boolean add(WaitingRequest waiting) {
         if (byKey.putIfAbsent(waiting.key(), waiting) != null) {
             return false;
         }
@@ -45,8 +45,8 @@
      * @param key the request
      * @return the request; empty when it does not wait
      */
-    public Optional<Waiting> remove(Waiting.Key key) {
-        Waiting waiting = byKey.remove(key);
+    public Optional<WaitingRequest> remove(WaitingRequest.Key key) {
+        WaitingRequest waiting = byKey.remove(key);
         if (waiting != null) {
             tiers.get(waiting.rank()).remove(waiting);
         }
@@ -58,7 +58,7 @@
      *
      * @param waiting the request
      */
-    public void granted(Waiting waiting) {
+    public void removeGranted(WaitingRequest waiting) {
         byKey.remove(waiting.key());
         TierQueue tier = tiers.get(waiting.rank());
         tier.remove(waiting);
@@ -72,9 +72,9 @@
      * @param passes what the request must satisfy
      * @return a request; empty when none that is first in its organisation passes
      */
-    public Optional<Waiting> next(Predicate<Waiting> passes) {
+    public Optional<WaitingRequest> next(Predicate<WaitingRequest> passes) {
         for (TierQueue tier : tiers.values()) {
-            Optional<Waiting> next = tier.firstHead(passes);
+            Optional<WaitingRequest> next = tier.firstHead(passes);
             if (next.isPresent()) {
                 return next;
             }
@@ -99,7 +99,7 @@
      *
      * @return a request of the lowest tier; empty when none waits
      */
-    public Optional<Waiting> victim() {
+    public Optional<WaitingRequest> victim() {
         return lowestRank().map(rank -> tiers.get(rank).victim());
     }
 
@@ -109,7 +109,7 @@
      * @param rank the rank
      * @return requests of lower tiers
      */
-    public List<Waiting> below(int rank) {
+    public List<WaitingRequest> belowRank(int rank) {
         return select(tiers.tailMap(rank, false));
     }
 
@@ -118,7 +118,7 @@
      *
      * @return requests
      */
-    public List<Waiting> all() {
+    public List<WaitingRequest> all() {
         return select(tiers);
     }
 
@@ -128,7 +128,7 @@
      * @param home the home
      * @return requests
      */
-    public List<Waiting> of(HomeId home) {
+    public List<WaitingRequest> waitingOf(ProcessId home) {
         return byKey.values().stream()
                 .filter(waiting -> waiting.home().equals(home))
                 .toList();
@@ -152,7 +152,7 @@
      * @param waiting the request, not yet in the queue
      * @return sum of the costs of all tiers above it, and of what its own tier serves first
      */
-    public long costBefore(Waiting waiting) {
+    public long costBefore(WaitingRequest waiting) {
         long above = tiers.headMap(waiting.rank(), false).values().stream()
                 .mapToLong(TierQueue::cost)
                 .sum();
@@ -166,7 +166,7 @@
      * @param rank the rank
      * @return true when a lower tier has something waiting
      */
-    public boolean hasBelow(int rank) {
+    public boolean hasBelowRank(int rank) {
         return tiers.tailMap(rank, false).values().stream().anyMatch(tier -> tier.size() > 0);
     }
 
@@ -181,8 +181,8 @@
         return sizes;
     }
 
-    private static List<Waiting> select(Map<Integer, TierQueue> selected) {
-        List<Waiting> all = new ArrayList<>();
+    private static List<WaitingRequest> select(Map<Integer, TierQueue> selected) {
+        List<WaitingRequest> all = new ArrayList<>();
         selected.values().forEach(tier -> all.addAll(tier.all()));
         return all;
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/TierQueue.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/TierQueue.java
@@ -36,7 +36,7 @@
         return cost;
     }
 
-    void add(Waiting waiting) {
+    void add(WaitingRequest waiting) {
         Line line = lines.computeIfAbsent(waiting.organisation(), Line::new);
         if (line.waiting.isEmpty()) {
             idle.remove(line);
@@ -50,7 +50,7 @@
         }
     }
 
-    boolean remove(Waiting waiting) {
+    boolean remove(WaitingRequest waiting) {
         Line line = lines.get(waiting.organisation());
         if (line == null || !line.waiting.remove(waiting)) {
             return false;
@@ -69,7 +69,7 @@
      * Returns the predicted cost of what this tier serves before a request that has just come: of its own organisation
      * what goes before it, of every other one no more than a fair share of that.
      */
-    long costBefore(Waiting waiting) {
+    long costBefore(WaitingRequest waiting) {
         Line own = lines.get(waiting.organisation());
         long ownBefore = own == null ? 0 : own.costBefore(waiting);
         double perWeight = (double) (ownBefore + waiting.cost()) / Math.max(1, waiting.weight());
@@ -86,9 +86,9 @@
     /**
      * Returns the next request to be served among the first ones of each organisation that pass; empty when none does.
      */
-    Optional<Waiting> firstHead(Predicate<Waiting> passes) {
+    Optional<WaitingRequest> firstHead(Predicate<WaitingRequest> passes) {
         for (Line line : active) {
-            Waiting head = line.waiting.first();
+            WaitingRequest head = line.waiting.first();
             if (passes.test(head)) {
                 return Optional.of(head);
             }
@@ -97,7 +97,7 @@
     }
 
     /** Accounts for a request that was granted and removed. */
-    void served(Waiting waiting) {
+    void served(WaitingRequest waiting) {
         Line line = lines.get(waiting.organisation());
         if (line != null) {
             virtualTime = Math.max(virtualTime, line.virtualTime);
@@ -107,7 +107,7 @@
     }
 
     /** Returns the request that hurts least to shed: the last one of the organisation that has most waiting. */
-    Waiting victim() {
+    WaitingRequest victim() {
         Line longest = null;
         for (Line line : active) {
             if (longest == null || line.burden() > longest.burden()) {
@@ -117,8 +117,8 @@
         return longest == null ? null : longest.waiting.last();
     }
 
-    List<Waiting> all() {
-        List<Waiting> all = new ArrayList<>(size);
+    List<WaitingRequest> all() {
+        List<WaitingRequest> all = new ArrayList<>(size);
         active.forEach(line -> all.addAll(line.waiting));
         return all;
     }
@@ -146,14 +146,15 @@
         // A short request overtakes a long one that came a little earlier; since every request's place is fixed by its
         // own
         // arrival, the long one is overtaken for a bounded time only.
-        private static final Comparator<Waiting> AGED_SHORTEST_FIRST = Comparator.<Waiting>comparingDouble(
-                        waiting -> waiting.arrivedAtMillis() + waiting.cost() * MILLIS_PER_COST)
-                .thenComparing(waiting -> waiting.home().host())
-                .thenComparingLong(waiting -> waiting.home().incarnation())
-                .thenComparingLong(Waiting::request);
+        private static final Comparator<WaitingRequest> AGED_SHORTEST_FIRST =
+                Comparator.<WaitingRequest>comparingDouble(
+                                waiting -> waiting.arrivedAtMillis() + waiting.cost() * MILLIS_PER_COST)
+                        .thenComparing(waiting -> waiting.home().host())
+                        .thenComparingLong(waiting -> waiting.home().incarnation())
+                        .thenComparingLong(WaitingRequest::request);
 
         private final String organisation;
-        private final TreeSet<Waiting> waiting = new TreeSet<>(AGED_SHORTEST_FIRST);
+        private final TreeSet<WaitingRequest> waiting = new TreeSet<>(AGED_SHORTEST_FIRST);
         private double virtualTime;
         private long cost;
 
@@ -161,8 +162,10 @@
             this.organisation = organisation;
         }
 
-        long costBefore(Waiting other) {
-            return waiting.headSet(other).stream().mapToLong(Waiting::cost).sum();
+        long costBefore(WaitingRequest other) {
+            return waiting.headSet(other).stream()
+                    .mapToLong(WaitingRequest::cost)
+                    .sum();
         }
 
         double burden() {
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/Waiting.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/WaitingRequest.java
@@ -1,7 +1,7 @@
 package org.whinwharf.owner.queue;
 
 import java.util.List;
-import org.whinwharf.owner.HomeId;
+import org.whinwharf.owner.ProcessId;
 
 /**
  * Request that waits for a grant.
@@ -18,8 +18,8 @@
  * @param deadlineMillis instant by which its answer must be whole, by the owner's clock
  * @param arrivedAtMillis when it came to the owner
  */
-public record Waiting(
-        HomeId home,
+public record WaitingRequest(
+        ProcessId home,
         long request,
         int rank,
         String organisation,
@@ -57,5 +57,5 @@
      * @param home its home
      * @param request its id there
      */
-    public record Key(HomeId home, long request) {}
+    public record Key(ProcessId home, long request) {}
 }
