--- a/org.whinwharf.steward.test/src/test/java/org/whinwharf/steward/FakeSurroundings.java
+++ b/org.whinwharf.steward.test/src/test/java/org/whinwharf/steward/FakePlatformAndEngine.java
@@ -39,11 +39,11 @@
 import org.whinwharf.wire.schema.Tier;
 
 /** Platform and one engine on one port, both of which a test controls. */
-final class FakeSurroundings implements AutoCloseable {
+final class FakePlatformAndEngine implements AutoCloseable {
     static final String ENVIRONMENT = "trial";
 
     private static final String KIND = "fake-surroundings";
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long ORDER_TIMEOUT_SECONDS = 20;
 
     private final ApplicationContext context;
     private final EmbeddedServer server;
@@ -54,11 +54,11 @@
     private volatile EngineState state =
             EngineState.newBuilder().setStartNumber(1).build();
 
-    FakeSurroundings(String address) {
+    FakePlatformAndEngine(String address) {
         Map<String, Object> properties = Map.of(
                 AdminServer.SERVER_PROPERTY, KIND, "micronaut.server.host", address, "micronaut.server.port", -1);
         context = ApplicationContext.builder(properties).banner(false).build();
-        context.registerSingleton(FakeSurroundings.class, this);
+        context.registerSingleton(FakePlatformAndEngine.class, this);
         context.start();
         server = context.getBean(EmbeddedServer.class).start();
     }
@@ -108,14 +108,14 @@
     }
 
     EngineOrder nextOrder() throws InterruptedException {
-        EngineOrder order = orders.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        EngineOrder order = orders.poll(ORDER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (order == null) {
             throw new AssertionError("no order came");
         }
         return order;
     }
 
-    int ordersWaiting() {
+    int unreadOrders() {
         return orders.size();
     }
 
@@ -142,9 +142,9 @@
     @Controller
     @Requires(property = AdminServer.SERVER_PROPERTY, value = KIND)
     static final class Routes {
-        private final FakeSurroundings fake;
+        private final FakePlatformAndEngine fake;
 
-        Routes(FakeSurroundings fake) {
+        Routes(FakePlatformAndEngine fake) {
             this.fake = fake;
         }
 
--- a/org.whinwharf.steward.test/src/test/java/org/whinwharf/steward/StewardDaemonTest.java
+++ b/org.whinwharf.steward.test/src/test/java/org/whinwharf/steward/StewardDaemonTest.java
@@ -23,19 +23,19 @@
 
 /** A whole steward on loopback, with a platform and an engine that a test controls. */
 class StewardDaemonTest {
-    private static final String STEWARD = "127.0.43.1";
-    private static final String SURROUNDINGS = "127.0.43.9";
+    private static final String STEWARD_ADDRESS = "127.0.43.1";
+    private static final String PLATFORM_ADDRESS = "127.0.43.9";
 
-    private FakeSurroundings surroundings;
+    private FakePlatformAndEngine platform;
     private StewardDaemon daemon;
     private int peerPort;
 
     @BeforeEach
     void start() throws IOException {
         peerPort = freePort();
-        surroundings = new FakeSurroundings(SURROUNDINGS);
-        surroundings.publish(3, steward(), engine());
-        surroundings.publish(1, "v1");
+        platform = new FakePlatformAndEngine(PLATFORM_ADDRESS);
+        platform.publish(3, steward(), engine());
+        platform.publish(1, "v1");
         daemon = new StewardDaemon(settings());
         daemon.start();
     }
@@ -43,23 +43,23 @@
     @AfterEach
     void stop() {
         daemon.stop();
-        surroundings.close();
+        platform.close();
     }
 
     @Test
-    void engineFollowsTheDocumentAndOrdersCarryTheListsRevision() throws Exception {
-        EngineOrder first = surroundings.nextOrder();
+    void ordersDocumentVersionsWithTheListRevisionAsFencingNumber() throws Exception {
+        EngineOrder first = platform.nextOrder();
         assertThat(first.getLoadModel(), is("lampa"));
         assertThat(first.getVersion(), is("v1"));
         assertThat(first.getFencingNumber(), is(3L));
         assertThat(first.getWeightStoreUrl(), is("http://127.0.43.9:1"));
 
-        surroundings.publish(4, steward(), engine());
-        surroundings.publish(2, "v2");
-        EngineOrder second = surroundings.nextOrder();
+        platform.publish(4, steward(), engine());
+        platform.publish(2, "v2");
+        EngineOrder second = platform.nextOrder();
         assertThat(second.getVersion(), is("v2"));
-        try (HttpClient client = HttpClient.create(
-                URI.create("http://" + STEWARD + ":" + daemon.adminPort()).toURL())) {
+        try (HttpClient client = HttpClient.create(URI.create("http://" + STEWARD_ADDRESS + ":" + daemon.adminPort())
+                .toURL())) {
             String metrics = client.toBlocking().retrieve("/metrics");
             assertThat(metrics, containsString("whinwharf_orders_total{kind=\"load\",outcome=\"accepted\"}"));
             assertThat(client.toBlocking().retrieve("/v1/status"), containsString("\"target\":\"engine-a\""));
@@ -68,22 +68,22 @@
 
     // The host of a steward is replaced. Its successor is another host, so nothing must come from the one that leaves.
     @Test
-    void leavingStewardOrdersNothingMore() throws Exception {
-        surroundings.nextOrder();
+    void leavingStewardSendsNoMoreOrders() throws Exception {
+        platform.nextOrder();
         daemon.leave().get(20, TimeUnit.SECONDS);
-        surroundings.publish(2, "v2");
+        platform.publish(2, "v2");
         daemon.stop();
-        assertThat(surroundings.ordersWaiting(), is(0));
+        assertThat(platform.unreadOrders(), is(0));
     }
 
     private StewardSettings settings() {
         NodeSettings node = NodeSettings.newBuilder()
                 .setHost("host-a")
                 .setDataCentre("martin-a")
-                .setAddress(STEWARD)
-                .setEnvironment(FakeSurroundings.ENVIRONMENT)
-                .setConfigurationUrl(surroundings.url())
-                .setHostListUrl(surroundings.url())
+                .setAddress(STEWARD_ADDRESS)
+                .setEnvironment(FakePlatformAndEngine.ENVIRONMENT)
+                .setConfigurationUrl(platform.url())
+                .setHostListUrl(platform.url())
                 .setPeerPort(peerPort)
                 .build();
         return StewardSettings.newBuilder()
@@ -97,7 +97,7 @@
     private Host steward() {
         return Host.newBuilder()
                 .setName("host-a")
-                .setAddress(STEWARD)
+                .setAddress(STEWARD_ADDRESS)
                 .setDataCentre("martin-a")
                 .setState(HostState.LIVE)
                 .setEntry(EntryPorts.newBuilder().setStewardPeer(peerPort))
@@ -107,15 +107,15 @@
     private Host engine() {
         return Host.newBuilder()
                 .setName("engine-a")
-                .setAddress(SURROUNDINGS)
+                .setAddress(PLATFORM_ADDRESS)
                 .setDataCentre("martin-a")
                 .setState(HostState.LIVE)
-                .setTarget(TargetInfo.newBuilder().setService("lampa-llm").setPort(surroundings.port()))
+                .setTarget(TargetInfo.newBuilder().setService("lampa-llm").setPort(platform.port()))
                 .build();
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(STEWARD))) {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(STEWARD_ADDRESS))) {
             return socket.getLocalPort();
         }
     }
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/StewardDaemon.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/StewardDaemon.java
@@ -8,8 +8,8 @@
 import org.whinwharf.runtime.duty.DutyHandler;
 import org.whinwharf.runtime.node.Node;
 import org.whinwharf.runtime.node.NodeListener;
+import org.whinwharf.steward.internal.ActionExecutor;
 import org.whinwharf.steward.internal.EngineClient;
-import org.whinwharf.steward.internal.OrderDesk;
 import org.whinwharf.steward.internal.StewardMetrics;
 import org.whinwharf.wire.message.Role;
 import org.whinwharf.wire.schema.StewardSettings;
@@ -22,7 +22,7 @@
 
     private final Node node;
     private final EngineClient engines;
-    private final OrderDesk desk;
+    private final ActionExecutor executor;
     private final Duty<Runnable> duty;
 
     /**
@@ -35,16 +35,16 @@
                 .settings(settings.getNode())
                 .role(Role.STEWARD)
                 .listWaitMillis(LIST_WAIT_MILLIS)
-                .listener(new Changes())
-                .status(status -> status.addAllEngines(desk().status()))
+                .listener(new NodeChangeListener())
+                .status(status -> status.addAllEngines(executor().status()))
                 .call();
         engines = new EngineClient(settings.getOrderMillis());
         StewardMetrics metrics = new StewardMetrics(node.registry());
-        desk = new OrderDesk(settings, node, engines, metrics, this::hand);
-        metrics.bindStates(() -> desk().status());
+        executor = new ActionExecutor(settings, node, engines, metrics, this::submit);
+        metrics.bindEngineStates(() -> executor().status());
         duty = Duty.<Runnable>builder()
                 .name("orders")
-                .handler(new Handler())
+                .handler(new WorkHandler())
                 .ringSize(RING_SIZE)
                 .tickMillis(TICK_MILLIS)
                 .call();
@@ -60,7 +60,7 @@
     public CompletableFuture<Void> leave() {
         node.leave();
         CompletableFuture<Void> drained = new CompletableFuture<>();
-        hand(() -> desk.leave(drained));
+        submit(() -> executor.leave(drained));
         return drained;
     }
 
@@ -80,15 +80,15 @@
         return node.adminPort();
     }
 
-    private OrderDesk desk() {
-        return desk;
+    private ActionExecutor executor() {
+        return executor;
     }
 
-    private void hand(Runnable work) {
+    private void submit(Runnable work) {
         duty.offer(work);
     }
 
-    private final class Handler implements DutyHandler<Runnable> {
+    private final class WorkHandler implements DutyHandler<Runnable> {
         @Override
         public void handle(Runnable work) {
             work.run();
@@ -96,19 +96,19 @@
 
         @Override
         public void tick() {
-            desk.tick();
+            executor.tick();
         }
     }
 
-    private final class Changes implements NodeListener {
+    private final class NodeChangeListener implements NodeListener {
         @Override
         public void documentChanged(DocumentView document) {
-            hand(desk()::update);
+            submit(executor()::update);
         }
 
         @Override
         public void membershipChanged(Membership membership) {
-            hand(desk()::update);
+            submit(executor()::update);
         }
     }
 }
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/OrderDesk.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/ActionExecutor.java
@@ -12,7 +12,7 @@
 import org.whinwharf.order.PlannedOrder;
 import org.whinwharf.order.StewardAction;
 import org.whinwharf.order.StewardCore;
-import org.whinwharf.order.Withheld;
+import org.whinwharf.order.WithholdReason;
 import org.whinwharf.runtime.log.EventField;
 import org.whinwharf.runtime.log.EventLog;
 import org.whinwharf.runtime.log.LogEvent;
@@ -22,14 +22,14 @@
 import org.whinwharf.wire.status.EngineStatus;
 
 /** Carries out what the steward's decisions say. All methods but {@link #status} are called by one thread. */
-public final class OrderDesk {
+public final class ActionExecutor {
     private final Node node;
     private final EngineClient engines;
     private final StewardMetrics metrics;
-    private final Executor duty;
+    private final Executor callbackExecutor;
     private final StewardCore core;
     private final String weightStoreUrl;
-    private CompletableFuture<Void> leaving;
+    private CompletableFuture<Void> drained;
     private int inFlight;
     private volatile List<EngineStatus> status = List.of();
 
@@ -42,11 +42,12 @@
      * @param metrics counters
      * @param duty runs answers on the thread that calls this desk
      */
-    public OrderDesk(StewardSettings settings, Node node, EngineClient engines, StewardMetrics metrics, Executor duty) {
+    public ActionExecutor(
+            StewardSettings settings, Node node, EngineClient engines, StewardMetrics metrics, Executor duty) {
         this.node = node;
         this.engines = engines;
         this.metrics = metrics;
-        this.duty = duty;
+        this.callbackExecutor = duty;
         weightStoreUrl = settings.getWeightStoreUrl();
         core = new StewardCore(
                 settings.getNode().getHost(), settings.getOrderMillis(), settings.getWeightLoadsPerSecond());
@@ -55,20 +56,21 @@
     /** Takes another host list or document from the node. */
     public void update() {
         if (node.membership().isPresent() && node.document().isPresent()) {
-            core.update(node.membership().get(), node.document().get(), now());
+            core.update(node.membership().get(), node.document().get(), nowMillis());
         }
     }
 
     /** Decides and carries out what is due. */
     public void tick() {
-        if (leaving != null || !node.isReady()) {
+        if (drained != null || !node.isReady()) {
             return;
         }
-        for (StewardAction action : core.tick(now(), System.currentTimeMillis(), confirmedAt(core.revision()))) {
+        for (StewardAction action :
+                core.tick(nowMillis(), System.currentTimeMillis(), listConfirmedAtMillis(core.revision()))) {
             if (action instanceof StewardAction.ReadState read) {
-                read(read.target());
+                readState(read.target());
             } else if (action instanceof StewardAction.SendOrder send) {
-                send(send.order());
+                sendOrder(send.order());
             }
         }
         status = core.status();
@@ -80,8 +82,8 @@
      * @param drained is completed when no order is in flight
      */
     public void leave(CompletableFuture<Void> drained) {
-        leaving = drained;
-        drain();
+        drained = drained;
+        completeDrainIfIdle();
     }
 
     /**
@@ -93,71 +95,71 @@
         return status;
     }
 
-    private void read(Host target) {
+    private void readState(Host target) {
         engines.readState(
                 target,
-                (state, failure) -> duty.execute(() -> {
+                (state, failure) -> callbackExecutor.execute(() -> {
                     if (state != null) {
-                        core.stateRead(target.getName(), state, now());
+                        core.stateRead(target.getName(), state, nowMillis());
                     } else {
                         core.readFailed(target.getName(), failure);
                     }
                 }));
     }
 
-    private void send(PlannedOrder order) {
+    private void sendOrder(PlannedOrder order) {
         String target = order.target().getName();
         // Asked with a fresh reading of the clock, as the last thing before the sending.
-        Optional<Withheld> withheld =
-                core.withheld(order, now(), confirmedAt(order.fencingNumber()), generationInForce());
+        Optional<WithholdReason> withheld = core.withholdReason(
+                order, nowMillis(), listConfirmedAtMillis(order.fencingNumber()), generationInForce());
         if (withheld.isPresent()) {
-            withhold(order, withheld.get());
+            withholdOrder(order, withheld.get());
             return;
         }
         Span span = node.tracer()
                 .spanBuilder("engine-order")
                 .setAttribute("target", target)
-                .setAttribute("order", order.step().text())
+                .setAttribute("order", order.step().describe())
                 .startSpan();
         inFlight++;
-        engines.order(
+        engines.sendOrder(
                 order.target(),
-                order.step().order(order.fencingNumber(), weightStoreUrl),
-                answer -> duty.execute(() -> answered(order, answer, span)));
+                order.step().toOrder(order.fencingNumber(), weightStoreUrl),
+                answer -> callbackExecutor.execute(() -> orderFinished(order, answer, span)));
         EventLog.event(LogEvent.ORDER_SENT)
                 .with(EventField.TARGET, target)
                 .with(EventField.FENCING_NUMBER, order.fencingNumber())
-                .with(EventField.ORDER, order.step().text())
+                .with(EventField.ORDER, order.step().describe())
                 .call();
     }
 
-    private void withhold(PlannedOrder order, Withheld reason) {
-        core.answered(order.target().getName(), OrderOutcome.WITHHELD, now());
-        metrics.withheld(reason);
+    private void withholdOrder(PlannedOrder order, WithholdReason reason) {
+        core.orderFinished(order.target().getName(), OrderOutcome.WITHHELD, nowMillis());
+        metrics.countWithheld(reason);
         EventLog.event(LogEvent.ORDER_WITHHELD)
                 .with(EventField.TARGET, order.target().getName())
                 .with(EventField.FENCING_NUMBER, order.fencingNumber())
                 .with(EventField.REASON, reason.name().toLowerCase(Locale.ROOT))
-                .with(EventField.AGE_MILLIS, now() - order.plannedAtMillis())
+                .with(EventField.AGE_MILLIS, nowMillis() - order.plannedAtMillis())
                 .call();
     }
 
-    private void answered(PlannedOrder order, OrderAnswer answer, Span span) {
+    private void orderFinished(PlannedOrder order, OrderResult answer, Span span) {
         span.setAttribute("outcome", answer.outcome().name());
         span.end();
         inFlight--;
-        core.answered(order.target().getName(), answer.outcome(), now());
-        metrics.answered(order.step().kind(), answer.outcome());
-        log(order, answer);
-        drain();
+        core.orderFinished(order.target().getName(), answer.outcome(), nowMillis());
+        metrics.countOrder(order.step().kind(), answer.outcome());
+        logResult(order, answer);
+        completeDrainIfIdle();
     }
 
-    private static void log(PlannedOrder order, OrderAnswer answer) {
+    private static void logResult(PlannedOrder order, OrderResult answer) {
         boolean accepted = answer.outcome() == OrderOutcome.ACCEPTED;
         EventLog line = EventLog.event(accepted ? LogEvent.ORDER_DONE : LogEvent.ORDER_FAILED)
                 .with(EventField.TARGET, order.target().getName())
                 .with(EventField.FENCING_NUMBER, order.fencingNumber())
-                .with(EventField.ORDER, order.step().text())
+                .with(EventField.ORDER, order.step().describe())
                 .with(EventField.STATUS, answer.status());
         if (!accepted) {
             line.with(EventField.REASON, answer.reason());
@@ -165,13 +167,13 @@
         line.call();
     }
 
-    private void drain() {
-        if (leaving != null && inFlight == 0) {
-            leaving.complete(null);
+    private void completeDrainIfIdle() {
+        if (drained != null && inFlight == 0) {
+            drained.complete(null);
         }
     }
 
-    private OptionalLong confirmedAt(long revision) {
+    private OptionalLong listConfirmedAtMillis(long revision) {
         return node.listHeardAtMillis(revision);
     }
 
@@ -179,7 +181,7 @@
         return node.document().map(DocumentView::generation).orElse(0L);
     }
 
-    private long now() {
+    private long nowMillis() {
         return node.ticker().nowMillis();
     }
 }
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/EngineClient.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/EngineClient.java
@@ -25,7 +25,7 @@
 public final class EngineClient implements Service {
     private static final Duration READ_TIMEOUT = Duration.ofSeconds(3);
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
-    private static final String LINGER = "SO_LINGER";
+    private static final String SO_LINGER = "SO_LINGER";
 
     private final HttpClient client;
     private final Duration orderTimeout;
@@ -43,7 +43,7 @@
         // With a linger of 0 a closed connection drops what was not sent yet. Otherwise the system would go on sending
         // an
         // order that was given up, and an engine that ignores fencing numbers could carry it out much later.
-        configuration.setChannelOptions(Map.of(LINGER, 0));
+        configuration.setChannelOptions(Map.of(SO_LINGER, 0));
         client = HttpClient.create(null, configuration);
         orderTimeout = Duration.ofMillis(orderMillis);
     }
@@ -66,23 +66,23 @@
                 .subscribe(state -> listener.accept(state, ""), failure -> listener.accept(null, reason(failure)));
     }
 
-    void order(Host target, EngineOrder order, Consumer<OrderAnswer> listener) {
+    void sendOrder(Host target, EngineOrder order, Consumer<OrderResult> listener) {
         HttpRequest<?> request = HttpRequest.POST(url(target) + "/v1/orders", SchemaWriter.compact(order))
                 .contentType(MediaType.APPLICATION_JSON_TYPE);
         Mono.from(client.exchange(request, String.class))
                 .timeout(orderTimeout)
-                .map(response -> new OrderAnswer(OrderOutcome.ACCEPTED, response.code(), ""))
-                .onErrorResume(failure -> Mono.just(failed(failure)))
+                .map(response -> new OrderResult(OrderOutcome.ACCEPTED, response.code(), ""))
+                .onErrorResume(failure -> Mono.just(toFailedResult(failure)))
                 .subscribe(listener);
     }
 
-    private static OrderAnswer failed(Throwable failure) {
+    private static OrderResult toFailedResult(Throwable failure) {
         if (failure instanceof HttpClientResponseException answered) {
             boolean fenced = answered.code() == HttpStatus.CONFLICT.getCode();
             OrderOutcome outcome = fenced ? OrderOutcome.FENCED : OrderOutcome.REFUSED;
-            return new OrderAnswer(outcome, answered.code(), reason(failure));
+            return new OrderResult(outcome, answered.code(), reason(failure));
         }
-        return new OrderAnswer(OrderOutcome.UNKNOWN, 0, reason(failure));
+        return new OrderResult(OrderOutcome.UNKNOWN, 0, reason(failure));
     }
 
     private static EngineState parse(HttpResponse<String> response) {
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/OrderAnswer.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/OrderResult.java
@@ -9,4 +9,4 @@
  * @param status HTTP status; 0 when no answer came
  * @param reason why it was not accepted, in words
  */
-record OrderAnswer(OrderOutcome outcome, int status, String reason) {}
+record OrderResult(OrderOutcome outcome, int status, String reason) {}
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/StewardMetrics.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/StewardMetrics.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 import org.whinwharf.order.OrderKind;
 import org.whinwharf.order.OrderOutcome;
-import org.whinwharf.order.Withheld;
+import org.whinwharf.order.WithholdReason;
 import org.whinwharf.wire.status.EngineStatus;
 
 /** Counts the steward's orders. */
@@ -30,7 +30,7 @@
      *
      * @param engines reads the engines of this steward
      */
-    public void bindStates(Supplier<List<EngineStatus>> engines) {
+    public void bindEngineStates(Supplier<List<EngineStatus>> engines) {
         for (String state : STATES) {
             Gauge.builder("whinwharf.engines", engines, each -> count(each.get(), state))
                     .tag("state", state)
@@ -41,20 +41,21 @@
         }
     }
 
-    void answered(OrderKind kind, OrderOutcome outcome) {
-        registry.counter("whinwharf.orders", "kind", name(kind), "outcome", name(outcome))
+    void countOrder(OrderKind kind, OrderOutcome outcome) {
+        registry.counter("whinwharf.orders", "kind", tagValue(kind), "outcome", tagValue(outcome))
                 .increment();
     }
 
-    void withheld(Withheld reason) {
-        registry.counter("whinwharf.orders.withheld", "reason", name(reason)).increment();
+    void countWithheld(WithholdReason reason) {
+        registry.counter("whinwharf.orders.withheld", "reason", tagValue(reason))
+                .increment();
     }
 
     private static double count(List<EngineStatus> engines, String state) {
         return engines.stream().filter(each -> each.getState().equals(state)).count();
     }
 
-    private static String name(Enum<?> value) {
+    private static String tagValue(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/order/EngineGoalTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/order/DesiredEngineStateTest.java
@@ -11,16 +11,16 @@
 import org.whinwharf.wire.schema.LoadedModel;
 import org.whinwharf.wire.schema.Model;
 
-class EngineGoalTest {
+class DesiredEngineStateTest {
     private static final Model LAMPA = Model.newBuilder()
             .setName("lampa")
             .setVersion("2")
             .addAdapters("sk")
             .build();
-    private static final EngineGoal GOAL = new EngineGoal(List.of(LAMPA), "decode");
+    private static final DesiredEngineState DESIRED = new DesiredEngineState(List.of(LAMPA), "decode");
 
     @Test
-    void engineAsWantedNeedsNothing() {
+    void engineInDesiredStateNeedsNoSteps() {
         EngineState state = EngineState.newBuilder()
                 .setRole("decode")
                 .addModels(LoadedModel.newBuilder()
@@ -28,21 +28,22 @@
                         .setVersion("2")
                         .addAdapters("sk"))
                 .build();
-        assertThat(GOAL.steps(state), empty());
+        assertThat(DESIRED.missingSteps(state), empty());
     }
 
     @Test
-    void roomIsMadeBeforeAModelIsLoaded() {
+    void unloadsBeforeLoading() {
         EngineState state = EngineState.newBuilder()
                 .addModels(LoadedModel.newBuilder().setName("old").setVersion("1"))
                 .build();
         assertThat(
-                GOAL.steps(state), contains(OrderStep.role("decode"), OrderStep.unload("old"), OrderStep.load(LAMPA)));
-        assertThat(GOAL.need(state), is(LoadNeed.MODEL_MISSING));
+                DESIRED.missingSteps(state),
+                contains(OrderStep.role("decode"), OrderStep.unload("old"), OrderStep.load(LAMPA)));
+        assertThat(DESIRED.loadPriority(state), is(LoadPriority.MODEL_MISSING));
     }
 
     @Test
-    void otherVersionOrAdaptersAreLoadedAnew() {
+    void reloadsModelWithOtherVersionOrAdapters() {
         EngineState version = EngineState.newBuilder()
                 .setRole("decode")
                 .addModels(LoadedModel.newBuilder()
@@ -54,8 +55,8 @@
                 .setRole("decode")
                 .addModels(LoadedModel.newBuilder().setName("lampa").setVersion("2"))
                 .build();
-        assertThat(GOAL.steps(version), contains(OrderStep.load(LAMPA)));
-        assertThat(GOAL.steps(adapters), contains(OrderStep.load(LAMPA)));
-        assertThat(GOAL.need(version), is(LoadNeed.OTHER_VERSION));
+        assertThat(DESIRED.missingSteps(version), contains(OrderStep.load(LAMPA)));
+        assertThat(DESIRED.missingSteps(adapters), contains(OrderStep.load(LAMPA)));
+        assertThat(DESIRED.loadPriority(version), is(LoadPriority.OTHER_VERSION));
     }
 }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/order/FakeSteward.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/order/FakeSteward.java
@@ -9,18 +9,18 @@
 
 /** Runs a steward's decisions against fake engines, with a clock and a host list that a test controls. */
 final class FakeSteward {
-    static final long ORDER_MILLIS = 10_000;
+    static final long ORDER_TIMEOUT_MILLIS = 10_000;
 
     private final StewardCore core;
     private final Map<String, FakeEngine> engines;
     private final List<Long> sentAtMillis = new ArrayList<>();
     private final List<Long> fencingNumbers = new ArrayList<>();
-    private final List<Withheld> withheld = new ArrayList<>();
+    private final List<WithholdReason> withholdReasons = new ArrayList<>();
     private long generation;
-    private long listHeardAtMillis = Long.MIN_VALUE;
+    private long listConfirmedAtMillis = Long.MIN_VALUE;
 
     FakeSteward(String host, double loadsPerSecond, Map<String, FakeEngine> engines) {
-        core = new StewardCore(host, ORDER_MILLIS, loadsPerSecond);
+        core = new StewardCore(host, ORDER_TIMEOUT_MILLIS, loadsPerSecond);
         this.engines = engines;
     }
 
@@ -28,19 +28,19 @@
         return core;
     }
 
-    void hears(Membership membership, DocumentView document, long nowMillis) {
+    void update(Membership membership, DocumentView document, long nowMillis) {
         core.update(membership, document, nowMillis);
         generation = document.generation();
-        listHeardAtMillis = nowMillis;
+        listConfirmedAtMillis = nowMillis;
     }
 
-    void listAnswered(long nowMillis) {
-        listHeardAtMillis = nowMillis;
+    void confirmList(long nowMillis) {
+        listConfirmedAtMillis = nowMillis;
     }
 
     /** Decides and carries out; {@code pauseMillis} passes between the decision and the sending. */
     void tick(long nowMillis, long unixMillis, long pauseMillis) {
-        for (StewardAction action : core.tick(nowMillis, unixMillis, heard())) {
+        for (StewardAction action : core.tick(nowMillis, unixMillis, listConfirmedAt())) {
             if (action instanceof StewardAction.ReadState read) {
                 String name = read.target().getName();
                 core.stateRead(name, engines.get(name).state(), nowMillis);
@@ -64,25 +64,25 @@
         return fencingNumbers;
     }
 
-    List<Withheld> withheld() {
-        return withheld;
+    List<WithholdReason> withholdReasons() {
+        return withholdReasons;
     }
 
     private void send(PlannedOrder order, long nowMillis) {
         String name = order.target().getName();
-        var reason = core.withheld(order, nowMillis, heard(), generation);
+        var reason = core.withholdReason(order, nowMillis, listConfirmedAt(), generation);
         if (reason.isPresent()) {
-            withheld.add(reason.get());
-            core.answered(name, OrderOutcome.WITHHELD, nowMillis);
+            withholdReasons.add(reason.get());
+            core.orderFinished(name, OrderOutcome.WITHHELD, nowMillis);
             return;
         }
         sentAtMillis.add(nowMillis);
         fencingNumbers.add(order.fencingNumber());
-        OrderOutcome outcome = engines.get(name).order(order.step().order(order.fencingNumber(), "http://w"));
-        core.answered(name, outcome, nowMillis);
+        OrderOutcome outcome = engines.get(name).order(order.step().toOrder(order.fencingNumber(), "http://w"));
+        core.orderFinished(name, outcome, nowMillis);
     }
 
-    private OptionalLong heard() {
-        return listHeardAtMillis == Long.MIN_VALUE ? OptionalLong.empty() : OptionalLong.of(listHeardAtMillis);
+    private OptionalLong listConfirmedAt() {
+        return listConfirmedAtMillis == Long.MIN_VALUE ? OptionalLong.empty() : OptionalLong.of(listConfirmedAtMillis);
     }
 }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/order/WeightTurnsTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/order/WeightStoreRateLimiterTest.java
@@ -19,7 +19,7 @@
 import org.whinwharf.membership.Membership;
 import org.whinwharf.wire.schema.Host;
 
-class WeightTurnsTest {
+class WeightStoreRateLimiterTest {
     private static final long UNIX_MILLIS = 1_790_000_000_000L;
     private static final long TICK_MILLIS = 50;
 
@@ -27,7 +27,7 @@
     // above its rate, and one would notice loads that fail again and again while nothing serves.
     @ParameterizedTest
     @CsvSource({"7,17,2", "40,100,4", "100,150,2"})
-    void coldFleetLoadsWithinTheRateAndUsesAllOfIt(int stewards, int targets, double loadsPerSecond) {
+    void coldFleetLoadsAtTheRateLimit(int stewards, int targets, double loadsPerSecond) {
         List<Host> hosts = OrderFleet.stewards(stewards);
         List<Host> engines = OrderFleet.engines(targets);
         Membership list = OrderFleet.membership(3, hosts, engines);
@@ -36,7 +36,7 @@
         engines.forEach(engine -> cold.put(engine.getName(), new FakeEngine(true)));
         List<FakeSteward> fleet = new ArrayList<>();
         hosts.forEach(host -> fleet.add(new FakeSteward(host.getName(), loadsPerSecond, cold)));
-        fleet.forEach(each -> each.hears(list, document, 0));
+        fleet.forEach(each -> each.update(list, document, 0));
 
         List<Long> loadsAtMillis = new ArrayList<>();
         long wholeRoundMillis = Math.round(1_000 * targets / loadsPerSecond);
@@ -45,7 +45,7 @@
         for (long now = 0; now < 2 * wholeRoundMillis + 1_000; now += TICK_MILLIS) {
             for (FakeSteward each : fleet) {
                 int before = each.sentAtMillis().size();
-                each.listAnswered(now);
+                each.confirmList(now);
                 each.tick(now, UNIX_MILLIS + now, 0);
                 for (int i = before; i < each.sentAtMillis().size(); i++) {
                     loadsAtMillis.add(now);
@@ -53,7 +53,7 @@
             }
         }
         assertThat("every engine is loaded once", loadsAtMillis.size(), is(targets));
-        assertThat(mostWithin(1_000, loadsAtMillis), lessThanOrEqualTo((int) Math.ceil(loadsPerSecond) + 1));
+        assertThat(maxCountWithin(1_000, loadsAtMillis), lessThanOrEqualTo((int) Math.ceil(loadsPerSecond) + 1));
         long firstRound = loadsAtMillis.stream()
                 .filter(at -> at <= wholeRoundMillis + 1_000)
                 .count();
@@ -63,26 +63,26 @@
     // Clocks of hosts differ by up to half a second. Turns then overlap by that time, but the rate must still hold over
     // any longer time.
     @Test
-    void differingClocksMoveLoadsByNoMoreThanTheirDifference() {
-        List<WeightTurns> stewards = new ArrayList<>();
+    void clockOffsetsShiftLoadsByNoMoreThanTheOffset() {
+        List<WeightStoreRateLimiter> stewards = new ArrayList<>();
         List<Long> offsets = new ArrayList<>();
         List<String> targets = names(60);
         Random random = new Random(7);
         for (int i = 0; i < 60; i++) {
-            WeightTurns turns = new WeightTurns(2);
-            turns.targets(targets, Set.of(targets.get(i)), 0);
+            WeightStoreRateLimiter turns = new WeightStoreRateLimiter(2);
+            turns.updateTargets(targets, Set.of(targets.get(i)), 0);
             stewards.add(turns);
             offsets.add((long) random.nextInt(1_000) - 500);
         }
         List<Long> taken = new ArrayList<>();
         for (long now = 0; now < 120_000; now += TICK_MILLIS) {
             for (int i = 0; i < stewards.size(); i++) {
-                if (stewards.get(i).take(now, UNIX_MILLIS + now + offsets.get(i))) {
+                if (stewards.get(i).tryAcquire(now, UNIX_MILLIS + now + offsets.get(i))) {
                     taken.add(now);
                 }
             }
         }
-        int mostIn10Seconds = mostWithin(10_000, taken);
+        int mostIn10Seconds = maxCountWithin(10_000, taken);
         assertThat(mostIn10Seconds, lessThanOrEqualTo(2 * (10 + 1) + 1));
     }
 
@@ -90,29 +90,29 @@
     // The tokens bound what that host can take.
     @ParameterizedTest
     @ValueSource(longs = {0, 500, 1_000, 1_500, 2_000, 2_500, 3_000, 3_500, 4_000, 4_500})
-    void wallClockThatIsSetBackGivesNoMoreThanTheShareAndOneRound(long offsetMillis) {
+    void wallClockSetBackStaysWithinTheShare(long offsetMillis) {
         List<String> targets = names(10);
-        WeightTurns turns = new WeightTurns(2);
-        turns.targets(targets, Set.copyOf(targets.subList(0, 2)), 0);
+        WeightStoreRateLimiter turns = new WeightStoreRateLimiter(2);
+        turns.updateTargets(targets, Set.copyOf(targets.subList(0, 2)), 0);
         int taken = 0;
         for (long now = 0; now < 100_000; now += TICK_MILLIS) {
             long unix = UNIX_MILLIS + offsetMillis + now % 1_000;
-            taken += turns.take(now, unix) ? 1 : 0;
+            taken += turns.tryAcquire(now, unix) ? 1 : 0;
         }
         double shareOf100Seconds = 2.0 * 2 / 10 * 100;
         assertThat(taken, lessThanOrEqualTo((int) shareOf100Seconds + 2));
     }
 
     @Test
-    void engineThatServesNothingComesBeforeOneWithAnotherVersion() {
+    void loadsEngineWithoutModelsFirst() {
         List<Host> engines = OrderFleet.engines(2);
         FakeEngine outdated = new FakeEngine(true);
-        outdated.order(OrderStep.load(model("0")).order(1, ""));
+        outdated.order(OrderStep.load(model("0")).toOrder(1, ""));
         FakeEngine cold = new FakeEngine(true);
         FakeSteward steward = new FakeSteward("entry-0", 1, Map.of("engine-0", outdated, "engine-1", cold));
-        steward.hears(OrderFleet.membership(3, OrderFleet.stewards(1), engines), OrderFleet.document(1, "1", true), 0);
+        steward.update(OrderFleet.membership(3, OrderFleet.stewards(1), engines), OrderFleet.document(1, "1", true), 0);
         for (long now = 0; cold.accepted().isEmpty() && now < 10_000; now += TICK_MILLIS) {
-            steward.listAnswered(now);
+            steward.confirmList(now);
             steward.tick(now, UNIX_MILLIS + now, 0);
             assertThat(outdated.accepted().size(), is(1));
         }
@@ -130,7 +130,7 @@
         return OrderFleet.engines(count).stream().map(Host::getName).toList();
     }
 
-    private static int mostWithin(long windowMillis, List<Long> atMillis) {
+    private static int maxCountWithin(long windowMillis, List<Long> atMillis) {
         int most = 0;
         for (long from : atMillis) {
             int within = (int) atMillis.stream()
--- a/org.whinwharf/src/main/java/org/whinwharf/order/EngineGoal.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/DesiredEngineState.java
@@ -20,7 +20,7 @@
  * @param models models with version and adapters
  * @param role role
  */
-public record EngineGoal(List<Model> models, String role) {
+public record DesiredEngineState(List<Model> models, String role) {
     private static final String DEFAULT_ROLE = "mixed";
 
     /**
@@ -29,7 +29,7 @@
      * @param models models with version and adapters
      * @param role role
      */
-    public EngineGoal {
+    public DesiredEngineState {
         models = List.copyOf(models);
     }
 
@@ -40,9 +40,9 @@
      * @param target the engine
      * @return goal; empty when no deployment describes the engine, which is then left as it is
      */
-    public static Optional<EngineGoal> of(DocumentView document, Host target) {
+    public static Optional<DesiredEngineState> of(DocumentView document, Host target) {
         List<Deployment> matching = document.deployments(target.getTarget().getService()).stream()
-                .filter(deployment -> describes(deployment, target))
+                .filter(deployment -> matches(deployment, target))
                 .toList();
         if (matching.isEmpty()) {
             return Optional.empty();
@@ -52,9 +52,9 @@
         List<Model> models =
                 names.stream().flatMap(name -> document.model(name).stream()).toList();
         Deployment specific = matching.stream()
-                .max(Comparator.comparingInt(EngineGoal::specificity))
+                .max(Comparator.comparingInt(DesiredEngineState::specificity))
                 .orElseThrow();
-        return Optional.of(new EngineGoal(models, orMixed(specific.getRole())));
+        return Optional.of(new DesiredEngineState(models, roleOrDefault(specific.getRole())));
     }
 
     /**
@@ -63,9 +63,9 @@
      * @param state state of the engine
      * @return steps in the order in which they are to be taken; empty when the engine is as the document wants it
      */
-    public List<OrderStep> steps(EngineState state) {
+    public List<OrderStep> missingSteps(EngineState state) {
         List<OrderStep> steps = new ArrayList<>();
-        if (!orMixed(state.getRole()).equals(role)) {
+        if (!roleOrDefault(state.getRole()).equals(role)) {
             steps.add(OrderStep.role(role));
         }
         // Dropped before others are loaded, so that there is room for them.
@@ -84,17 +84,17 @@
      * @param state state of the engine
      * @return need
      */
-    public LoadNeed need(EngineState state) {
+    public LoadPriority loadPriority(EngineState state) {
         if (state.getModelsCount() == 0) {
-            return LoadNeed.SERVES_NOTHING;
+            return LoadPriority.SERVES_NOTHING;
         }
         Set<String> loaded = new LinkedHashSet<>();
         state.getModelsList().forEach(model -> loaded.add(model.getName()));
         boolean missing = models.stream().anyMatch(model -> !loaded.contains(model.getName()));
-        return missing ? LoadNeed.MODEL_MISSING : LoadNeed.OTHER_VERSION;
+        return missing ? LoadPriority.MODEL_MISSING : LoadPriority.OTHER_VERSION;
     }
 
-    private static boolean describes(Deployment deployment, Host target) {
+    private static boolean matches(Deployment deployment, Host target) {
         boolean here = deployment.getDataCentre().isEmpty()
                 || deployment.getDataCentre().equals(target.getDataCentre());
         boolean such = deployment.getHardware().isEmpty()
@@ -114,7 +114,7 @@
                         && Set.copyOf(loaded.getAdaptersList()).equals(Set.copyOf(model.getAdaptersList())));
     }
 
-    private static String orMixed(String role) {
+    private static String roleOrDefault(String role) {
         return role.isEmpty() ? DEFAULT_ROLE : role;
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/LoadNeed.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/LoadPriority.java
@@ -1,7 +1,7 @@
 package org.whinwharf.order;
 
 /** How much an engine needs a load, the greatest need first. */
-public enum LoadNeed {
+public enum LoadPriority {
     /** The engine has no model at all. */
     SERVES_NOTHING,
     /** A model is missing. */
--- a/org.whinwharf/src/main/java/org/whinwharf/order/OrderStep.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/OrderStep.java
@@ -62,7 +62,7 @@
      * @param weightStoreUrl where the engine loads from
      * @return the order
      */
-    public EngineOrder order(long fencingNumber, String weightStoreUrl) {
+    public EngineOrder toOrder(long fencingNumber, String weightStoreUrl) {
         EngineOrder.Builder order = EngineOrder.newBuilder().setFencingNumber(fencingNumber);
         return switch (kind) {
             case ROLE -> order.setRole(name).build();
@@ -81,7 +81,7 @@
      *
      * @return text such as {@code load lampa 2 [fr]}
      */
-    public String text() {
+    public String describe() {
         String text = kind.name().toLowerCase(java.util.Locale.ROOT) + " " + name;
         return kind == OrderKind.LOAD ? text + " " + version + " " + adapters : text;
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/StewardAction.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/StewardAction.java
@@ -12,7 +12,7 @@
     record ReadState(Host target) implements StewardAction {}
 
     /**
-     * Sends an order, after {@link StewardCore#withheld} was asked again.
+     * Sends an order, after {@link StewardCore#withholdReason} was asked again.
      *
      * @param order the order
      */
--- a/org.whinwharf/src/main/java/org/whinwharf/order/StewardCore.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/StewardCore.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.whinwharf.document.DocumentView;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.order.internal.EngineWatch;
+import org.whinwharf.order.internal.EngineTracker;
 import org.whinwharf.order.internal.Tenure;
 import org.whinwharf.wire.schema.EngineState;
 import org.whinwharf.wire.schema.Host;
@@ -33,13 +33,13 @@
  */
 public final class StewardCore {
     /** Longest time from a decision to the sending of its order. */
-    public static final long SEND_MILLIS = 500;
+    public static final long MAX_SEND_DELAY_MILLIS = 500;
 
     private final String selfHost;
-    private final long orderMillis;
-    private final WeightTurns turns;
+    private final long orderTimeoutMillis;
+    private final WeightStoreRateLimiter loadRateLimiter;
     private final Tenure tenure = new Tenure();
-    private final Map<String, EngineWatch> engines = new TreeMap<>();
+    private final Map<String, EngineTracker> engines = new TreeMap<>();
     private Membership membership;
     private DocumentView document;
 
@@ -52,8 +52,8 @@
      */
     public StewardCore(String selfHost, long orderMillis, double loadsPerSecond) {
         this.selfHost = selfHost;
-        this.orderMillis = orderMillis;
-        this.turns = new WeightTurns(loadsPerSecond);
+        this.orderTimeoutMillis = orderMillis;
+        this.loadRateLimiter = new WeightStoreRateLimiter(loadsPerSecond);
     }
 
     /**
@@ -74,14 +74,14 @@
         Map<String, Host> own = new HashMap<>();
         for (Host target : engineHosts()) {
             all.add(target.getName());
-            if (isOwn(target)) {
+            if (isAssignedToThisHost(target)) {
                 own.put(target.getName(), target);
             }
         }
         engines.keySet().retainAll(own.keySet());
-        own.forEach(this::watch);
+        own.forEach(this::addOrUpdateEngine);
         tenure.update(membership.revision(), own.keySet(), nowMillis);
-        turns.targets(all, own.keySet(), nowMillis);
+        loadRateLimiter.updateTargets(all, own.keySet(), nowMillis);
     }
 
     /**
@@ -101,7 +101,7 @@
      * @param nowMillis monotonic clock
      */
     public void stateRead(String target, EngineState state, long nowMillis) {
-        find(target).ifPresent(engine -> engine.stateRead(state, nowMillis));
+        findEngine(target).ifPresent(engine -> engine.stateRead(state, nowMillis));
     }
 
     /**
@@ -111,7 +111,7 @@
      * @param reason why, in words
      */
     public void readFailed(String target, String reason) {
-        find(target).ifPresent(engine -> engine.readFailed(reason));
+        findEngine(target).ifPresent(engine -> engine.readFailed(reason));
     }
 
     /**
@@ -121,8 +121,8 @@
      * @param outcome what became of it
      * @param nowMillis monotonic clock
      */
-    public void answered(String target, OrderOutcome outcome, long nowMillis) {
-        find(target).ifPresent(engine -> engine.answered(outcome, nowMillis, orderMillis));
+    public void orderFinished(String target, OrderOutcome outcome, long nowMillis) {
+        findEngine(target).ifPresent(engine -> engine.orderFinished(outcome, nowMillis, orderTimeoutMillis));
     }
 
     /**
@@ -139,11 +139,11 @@
         if (membership == null) {
             return actions;
         }
-        if (isFresh(nowMillis, listHeardAtMillis)) {
-            order(nowMillis, unixMillis, actions);
+        if (isListFresh(nowMillis, listHeardAtMillis)) {
+            planOrders(nowMillis, unixMillis, actions);
         }
-        for (EngineWatch engine : engines.values()) {
-            if (engine.takeRead(nowMillis)) {
+        for (EngineTracker engine : engines.values()) {
+            if (engine.startReadIfDue(nowMillis)) {
                 actions.add(new StewardAction.ReadState(engine.target()));
             }
         }
@@ -163,18 +163,20 @@
      * @param generationInForce generation of the document in force, read for this call
      * @return why not; empty when it may be sent
      */
-    public Optional<Withheld> withheld(
+    public Optional<WithholdReason> withholdReason(
             PlannedOrder order, long nowMillis, OptionalLong listHeardAtMillis, long generationInForce) {
-        if (nowMillis - order.plannedAtMillis() > SEND_MILLIS) {
-            return Optional.of(Withheld.TOO_LATE);
+        if (nowMillis - order.plannedAtMillis() > MAX_SEND_DELAY_MILLIS) {
+            return Optional.of(WithholdReason.TOO_LATE);
         }
-        if (!isFresh(nowMillis, listHeardAtMillis)) {
-            return Optional.of(Withheld.LIST_STALE);
+        if (!isListFresh(nowMillis, listHeardAtMillis)) {
+            return Optional.of(WithholdReason.LIST_STALE);
         }
         if (order.fencingNumber() != membership.revision()) {
-            return Optional.of(Withheld.LIST_CHANGED);
+            return Optional.of(WithholdReason.LIST_CHANGED);
         }
-        return order.generation() == generationInForce ? Optional.empty() : Optional.of(Withheld.DOCUMENT_CHANGED);
+        return order.generation() == generationInForce
+                ? Optional.empty()
+                : Optional.of(WithholdReason.DOCUMENT_CHANGED);
     }
 
     /**
@@ -186,18 +188,19 @@
         return engines.values().stream().map(this::status).toList();
     }
 
-    private EngineStatus status(EngineWatch engine) {
+    private EngineStatus status(EngineTracker engine) {
         return EngineStatus.newBuilder()
                 .setTarget(engine.target().getName())
                 .setState(engine.stateName())
                 .setFencingNumber(membership.revision())
-                .addAllMissing(engine.steps().stream().map(OrderStep::text).toList())
+                .addAllMissing(
+                        engine.missingSteps().stream().map(OrderStep::describe).toList())
                 .build();
     }
 
-    private void order(long nowMillis, long unixMillis, List<StewardAction> actions) {
-        List<EngineWatch> loads = new ArrayList<>();
-        for (EngineWatch engine : engines.values()) {
+    private void planOrders(long nowMillis, long unixMillis, List<StewardAction> actions) {
+        List<EngineTracker> loads = new ArrayList<>();
+        for (EngineTracker engine : engines.values()) {
             if (!mayOrder(engine, nowMillis)) {
                 continue;
             }
@@ -205,45 +208,47 @@
             if (step.isPresent() && step.get().kind().readsWeights()) {
                 loads.add(engine);
             } else {
-                step.ifPresent(each -> actions.add(plan(engine, each, nowMillis)));
+                step.ifPresent(each -> actions.add(planOrder(engine, each, nowMillis)));
             }
         }
-        loads.sort(this::compareNeed);
-        for (EngineWatch neediest : loads) {
-            if (!turns.take(nowMillis, unixMillis)) {
+        loads.sort(this::comparePriority);
+        for (EngineTracker neediest : loads) {
+            if (!loadRateLimiter.tryAcquire(nowMillis, unixMillis)) {
                 return;
             }
             neediest.nextStep(membership.revision(), nowMillis)
-                    .ifPresent(step -> actions.add(plan(neediest, step, nowMillis)));
+                    .ifPresent(step -> actions.add(planOrder(neediest, step, nowMillis)));
         }
     }
 
-    private StewardAction plan(EngineWatch engine, OrderStep step, long nowMillis) {
+    private StewardAction planOrder(EngineTracker engine, OrderStep step, long nowMillis) {
         PlannedOrder order =
                 new PlannedOrder(engine.target(), step, membership.revision(), document.generation(), nowMillis);
-        engine.sent(order);
+        engine.orderPlanned(order);
         return new StewardAction.SendOrder(order);
     }
 
-    private boolean mayOrder(EngineWatch engine, long nowMillis) {
+    private boolean mayOrder(EngineTracker engine, long nowMillis) {
         Host target = engine.target();
         boolean checks = document.service(target.getTarget().getService())
                 .map(ServiceSpec::getChecksFencing)
                 .orElse(false);
-        long takeoverMillis = StewardBounds.of(document.timing(), orderMillis).takeoverMillis();
-        return checks || tenure.millis(target.getName(), nowMillis) >= takeoverMillis;
+        long takeoverMillis =
+                TakeoverTiming.of(document.timing(), orderTimeoutMillis).takeoverDelayMillis();
+        return checks || tenure.durationMillis(target.getName(), nowMillis) >= takeoverMillis;
     }
 
-    private int compareNeed(EngineWatch one, EngineWatch other) {
-        return Comparator.comparing((EngineWatch engine) ->
+    private int comparePriority(EngineTracker one, EngineTracker other) {
+        return Comparator.comparing((EngineTracker engine) ->
                         !membership.isInService(engine.target().getDataCentre()))
-                .thenComparing(EngineWatch::need)
+                .thenComparing(EngineTracker::loadPriority)
                 .thenComparing(engine -> engine.target().getName())
                 .compare(one, other);
     }
 
-    private boolean isFresh(long nowMillis, OptionalLong listHeardAtMillis) {
-        return listHeardAtMillis.isPresent() && nowMillis - listHeardAtMillis.getAsLong() <= StewardBounds.FRESH_MILLIS;
+    private boolean isListFresh(long nowMillis, OptionalLong listHeardAtMillis) {
+        return listHeardAtMillis.isPresent()
+                && nowMillis - listHeardAtMillis.getAsLong() <= TakeoverTiming.MAX_LIST_AGE_MILLIS;
     }
 
     private Set<Host> engineHosts() {
@@ -258,20 +263,20 @@
         return hosts;
     }
 
-    private boolean isOwn(Host target) {
+    private boolean isAssignedToThisHost(Host target) {
         return target.getState() == HostState.LIVE
-                && EngineGoal.of(document, target).isPresent()
-                && Stewards.stewardOf(target, membership)
+                && DesiredEngineState.of(document, target).isPresent()
+                && StewardSelector.stewardOf(target, membership)
                         .filter(host -> host.getName().equals(selfHost))
                         .isPresent();
     }
 
-    private void watch(String name, Host target) {
-        EngineWatch engine = engines.computeIfAbsent(name, key -> new EngineWatch(target));
-        engine.update(target, EngineGoal.of(document, target).orElseThrow());
+    private void addOrUpdateEngine(String name, Host target) {
+        EngineTracker engine = engines.computeIfAbsent(name, key -> new EngineTracker(target));
+        engine.update(target, DesiredEngineState.of(document, target).orElseThrow());
     }
 
-    private Optional<EngineWatch> find(String target) {
+    private Optional<EngineTracker> findEngine(String target) {
         return Optional.ofNullable(engines.get(target));
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/Stewards.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/StewardSelector.java
@@ -8,8 +8,8 @@
 import org.whinwharf.wire.schema.Host;
 
 /** Chooses the steward of each target from the host list alone. */
-public final class Stewards {
-    private Stewards() {}
+public final class StewardSelector {
+    private StewardSelector() {}
 
     /**
      * Chooses the steward of a target: a live host that runs a steward, in the target's data centre where there is one,
@@ -21,7 +21,7 @@
      */
     public static Optional<Host> stewardOf(Host target, Membership membership) {
         return membership.entryHosts().stream()
-                .filter(Stewards::runsSteward)
+                .filter(StewardSelector::runsSteward)
                 .max(Comparator.comparing((Host host) -> host.getDataCentre().equals(target.getDataCentre()))
                         .thenComparingLong(host -> score(host, target))
                         .thenComparing(Host::getName));
--- a/org.whinwharf/src/main/java/org/whinwharf/order/StewardBounds.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/TakeoverTiming.java
@@ -5,26 +5,27 @@
 /**
  * Times that bound what an earlier steward can still do.
  *
- * @param freshMillis longest age of the host list at which a steward orders, by its own clock
- * @param orderMillis longest that an order may take from its decision to its end
+ * @param maxListAgeMillis longest age of the host list at which a steward orders, by its own clock
+ * @param orderTimeoutMillis longest that an order may take from its decision to its end
  * @param listLagMillis longest time from the publication of a host list until everyone who asks gets it
  * @param clockRatePpm most that the clocks of two hosts differ in rate, parts per million
  */
-public record StewardBounds(long freshMillis, long orderMillis, long listLagMillis, int clockRatePpm) {
+public record TakeoverTiming(long maxListAgeMillis, long orderTimeoutMillis, long listLagMillis, int clockRatePpm) {
     /** Age at which a steward stops to order. */
-    public static final long FRESH_MILLIS = 6_000;
+    public static final long MAX_LIST_AGE_MILLIS = 6_000;
 
-    private static final double MILLION = 1_000_000.0;
+    private static final double PARTS_PER_MILLION = 1_000_000.0;
 
     /**
      * Makes bounds from the document.
      *
      * @param timing timing of the document
-     * @param orderMillis longest that an order may take
+     * @param orderTimeoutMillis longest that an order may take
      * @return bounds
      */
-    public static StewardBounds of(Timing timing, long orderMillis) {
-        return new StewardBounds(FRESH_MILLIS, orderMillis, timing.getListLagMillis(), timing.getClockRatePpm());
+    public static TakeoverTiming of(Timing timing, long orderMillis) {
+        return new TakeoverTiming(
+                MAX_LIST_AGE_MILLIS, orderMillis, timing.getListLagMillis(), timing.getClockRatePpm());
     }
 
     /**
@@ -36,8 +37,8 @@
      *
      * @return milliseconds by the new steward's clock
      */
-    public long takeoverMillis() {
-        long sumMillis = listLagMillis + freshMillis + orderMillis;
-        return (long) Math.ceil(sumMillis * (1 + 2 * clockRatePpm / MILLION));
+    public long takeoverDelayMillis() {
+        long sumMillis = listLagMillis + maxListAgeMillis + orderTimeoutMillis;
+        return (long) Math.ceil(sumMillis * (1 + 2 * clockRatePpm / PARTS_PER_MILLION));
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/WeightTurns.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/WeightStoreRateLimiter.java
@@ -17,25 +17,25 @@
  *
  * <p>Not safe for use by several threads.
  */
-public final class WeightTurns {
-    private static final long NO_TURN = Long.MIN_VALUE / 2;
-    private static final long LATE_MILLIS = 100;
-    private static final double SECOND_MILLIS = 1_000.0;
+public final class WeightStoreRateLimiter {
+    private static final long NO_TIME_SLOT = Long.MIN_VALUE / 2;
+    private static final long MAX_LATENESS_MILLIS = 100;
+    private static final double MILLIS_PER_SECOND = 1_000.0;
 
     private final double loadsPerSecond;
     private List<String> targets = List.of();
-    private int own;
+    private int localTargetCount;
     private double tokens;
     private long refilledAtMillis;
-    private long usedTurn = NO_TURN;
-    private Set<String> ownTargets = Set.of();
+    private long lastUsedTimeSlot = NO_TIME_SLOT;
+    private Set<String> localTargets = Set.of();
 
     /**
      * Makes turns without targets.
      *
      * @param loadsPerSecond loads that the weight store bears a second, over the whole fleet
      */
-    public WeightTurns(double loadsPerSecond) {
+    public WeightStoreRateLimiter(double loadsPerSecond) {
         this.loadsPerSecond = loadsPerSecond;
     }
 
@@ -46,15 +46,16 @@
      * @param newOwnTargets names of those whose steward this is
      * @param nowMillis monotonic clock
      */
-    public void targets(List<String> allTargets, Set<String> newOwnTargets, long nowMillis) {
+    public void updateTargets(List<String> allTargets, Set<String> newOwnTargets, long nowMillis) {
         refill(nowMillis);
-        boolean first = own == 0;
+        boolean first = localTargetCount == 0;
         targets = allTargets.stream()
-                .sorted(Comparator.comparingLong(WeightTurns::place).thenComparing(name -> name))
+                .sorted(Comparator.comparingLong(WeightStoreRateLimiter::hashPosition)
+                        .thenComparing(name -> name))
                 .toList();
-        ownTargets = Set.copyOf(newOwnTargets);
-        own = ownTargets.size();
-        tokens = first ? own : Math.min(tokens, own);
+        localTargets = Set.copyOf(newOwnTargets);
+        localTargetCount = localTargets.size();
+        tokens = first ? localTargetCount : Math.min(tokens, localTargetCount);
     }
 
     /**
@@ -64,21 +65,23 @@
      * @param unixMillis wall clock
      * @return true when one load may be sent now
      */
-    public boolean take(long nowMillis, long unixMillis) {
+    public boolean tryAcquire(long nowMillis, long unixMillis) {
         refill(nowMillis);
         if (targets.isEmpty() || tokens < 1) {
             return false;
         }
-        long last = turnAt(unixMillis);
-        if (usedTurn > last) {
+        long last = timeSlotAt(unixMillis);
+        if (lastUsedTimeSlot > last) {
             // The wall clock was set back. Waiting until it has caught up could take hours; the tokens bound the rest.
-            usedTurn = NO_TURN;
+            lastUsedTimeSlot = NO_TIME_SLOT;
         }
         // Only a turn that has just begun: used at any instant of theirs, two turns could fall close together.
-        for (long turn = Math.max(usedTurn, turnAt(unixMillis - LATE_MILLIS)) + 1; turn <= last; turn++) {
+        for (long turn = Math.max(lastUsedTimeSlot, timeSlotAt(unixMillis - MAX_LATENESS_MILLIS)) + 1;
+                turn <= last;
+                turn++) {
             String holder = targets.get((int) Math.floorMod(turn, (long) targets.size()));
-            if (ownTargets.contains(holder)) {
-                usedTurn = turn;
+            if (localTargets.contains(holder)) {
+                lastUsedTimeSlot = turn;
                 tokens -= 1;
                 return true;
             }
@@ -86,21 +89,21 @@
         return false;
     }
 
-    private long turnAt(long unixMillis) {
-        return (long) Math.floor(unixMillis * loadsPerSecond / SECOND_MILLIS);
+    private long timeSlotAt(long unixMillis) {
+        return (long) Math.floor(unixMillis * loadsPerSecond / MILLIS_PER_SECOND);
     }
 
     private void refill(long nowMillis) {
         if (!targets.isEmpty()) {
-            double sharePerSecond = loadsPerSecond * own / targets.size();
-            double gained = (nowMillis - refilledAtMillis) * sharePerSecond / SECOND_MILLIS;
-            tokens = Math.min(own, tokens + gained);
+            double sharePerSecond = loadsPerSecond * localTargetCount / targets.size();
+            double gained = (nowMillis - refilledAtMillis) * sharePerSecond / MILLIS_PER_SECOND;
+            tokens = Math.min(localTargetCount, tokens + gained);
         }
         refilledAtMillis = nowMillis;
     }
 
     /** Spreads the targets of one steward over the round. */
-    private static long place(String target) {
+    private static long hashPosition(String target) {
         return Hashing.murmur3_128().hashString(target, StandardCharsets.UTF_8).asLong();
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/internal/EngineWatch.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/internal/EngineTracker.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.whinwharf.order.EngineGoal;
-import org.whinwharf.order.LoadNeed;
+import org.whinwharf.order.DesiredEngineState;
+import org.whinwharf.order.LoadPriority;
 import org.whinwharf.order.OrderOutcome;
 import org.whinwharf.order.OrderStep;
 import org.whinwharf.order.PlannedOrder;
@@ -11,37 +11,37 @@
 import org.whinwharf.wire.schema.Host;
 
 /** What a steward knows of one engine, and what it waits for. */
-public final class EngineWatch {
+public final class EngineTracker {
     /** Time between two readings of an engine that is as it should be. */
-    public static final long REST_POLL_MILLIS = 5_000;
+    public static final long IDLE_POLL_INTERVAL_MILLIS = 5_000;
 
     /** Time between two readings of any other engine. */
-    public static final long BUSY_POLL_MILLIS = 1_000;
+    public static final long ACTIVE_POLL_INTERVAL_MILLIS = 1_000;
 
-    private static final long MAX_STATE_AGE_MILLIS = 2 * BUSY_POLL_MILLIS;
-    private static final long READ_MILLIS = 10_000;
-    private static final long FIRST_PAUSE_MILLIS = 1_000;
-    private static final int MAX_DOUBLINGS = 6;
+    private static final long MAX_STATE_AGE_MILLIS = 2 * ACTIVE_POLL_INTERVAL_MILLIS;
+    private static final long READ_TIMEOUT_MILLIS = 10_000;
+    private static final long BASE_BACKOFF_MILLIS = 1_000;
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
     private Host target;
-    private EngineGoal goal;
+    private DesiredEngineState desiredState;
     private EngineState state;
     private long stateAtMillis;
-    private long readAskedAtMillis = Long.MIN_VALUE;
-    private boolean reading;
-    private PlannedOrder outstanding;
+    private long readRequestedAtMillis = Long.MIN_VALUE;
+    private boolean readInFlight;
+    private PlannedOrder orderInFlight;
     private OrderStep lastStep;
-    private int repeats;
+    private int repeatCount;
     private long notBeforeMillis = Long.MIN_VALUE;
-    private long overruledAt;
-    private String problem = "";
+    private long minFencingNumber;
+    private String readError = "";
 
     /**
      * Begins to watch an engine.
      *
      * @param target the engine
      */
-    public EngineWatch(Host target) {
+    public EngineTracker(Host target) {
         this.target = target;
     }
 
@@ -51,9 +51,9 @@
      * @param newTarget the engine as the host list has it
      * @param newGoal what the document wants
      */
-    public void update(Host newTarget, EngineGoal newGoal) {
+    public void update(Host newTarget, DesiredEngineState newGoal) {
         target = newTarget;
-        goal = newGoal;
+        desiredState = newGoal;
     }
 
     /**
@@ -63,17 +63,17 @@
      * @param nowMillis monotonic clock
      */
     public void stateRead(EngineState read, long nowMillis) {
-        reading = false;
-        problem = "";
+        readInFlight = false;
+        readError = "";
         if (state != null && state.getStartNumber() != read.getStartNumber()) {
             // A new start of the engine knows nothing of what was ordered before.
-            repeats = 0;
+            repeatCount = 0;
             notBeforeMillis = Long.MIN_VALUE;
         }
         state = read;
         // Counted from the question: a process that slept over the answer must not take it for new.
-        stateAtMillis = Math.min(readAskedAtMillis, nowMillis);
-        overruledAt = Math.max(overruledAt, read.getFencingNumber());
+        stateAtMillis = Math.min(readRequestedAtMillis, nowMillis);
+        minFencingNumber = Math.max(minFencingNumber, read.getFencingNumber());
     }
 
     /**
@@ -82,9 +82,9 @@
      * @param reason why, in words
      */
     public void readFailed(String reason) {
-        reading = false;
+        readInFlight = false;
         state = null;
-        problem = reason;
+        readError = reason;
     }
 
     /**
@@ -94,23 +94,23 @@
      * @param nowMillis monotonic clock
      * @param orderMillis longest that an order may take
      */
-    public void answered(OrderOutcome outcome, long nowMillis, long orderMillis) {
-        PlannedOrder order = outstanding;
-        outstanding = null;
+    public void orderFinished(OrderOutcome outcome, long nowMillis, long orderMillis) {
+        PlannedOrder order = orderInFlight;
+        orderInFlight = null;
         // Whatever the answer said, what counts is what the engine now is.
         state = null;
-        readAskedAtMillis = Long.MIN_VALUE;
+        readRequestedAtMillis = Long.MIN_VALUE;
         if (order == null || outcome == OrderOutcome.WITHHELD) {
             return;
         }
         if (outcome == OrderOutcome.FENCED) {
-            overruledAt = Math.max(overruledAt, order.fencingNumber() + 1);
+            minFencingNumber = Math.max(minFencingNumber, order.fencingNumber() + 1);
         }
         if (outcome == OrderOutcome.UNKNOWN) {
             // The order may still arrive; nothing else is ordered until that is over.
             notBeforeMillis = Math.max(notBeforeMillis, order.plannedAtMillis() + orderMillis);
         }
-        pause(order.step(), nowMillis);
+        applyBackoff(order.step(), nowMillis);
     }
 
     /**
@@ -118,8 +118,8 @@
      *
      * @param order the order
      */
-    public void sent(PlannedOrder order) {
-        outstanding = order;
+    public void orderPlanned(PlannedOrder order) {
+        orderInFlight = order;
     }
 
     /**
@@ -128,16 +128,16 @@
      * @param nowMillis monotonic clock
      * @return true when it is to be read now
      */
-    public boolean takeRead(long nowMillis) {
-        long pollMillis = isInStep() ? REST_POLL_MILLIS : BUSY_POLL_MILLIS;
-        boolean asked = readAskedAtMillis != Long.MIN_VALUE;
-        long sinceMillis = asked ? nowMillis - readAskedAtMillis : Long.MAX_VALUE;
-        boolean waits = reading && sinceMillis < READ_MILLIS;
-        if (outstanding != null || waits || sinceMillis < pollMillis) {
+    public boolean startReadIfDue(long nowMillis) {
+        long pollMillis = isConverged() ? IDLE_POLL_INTERVAL_MILLIS : ACTIVE_POLL_INTERVAL_MILLIS;
+        boolean asked = readRequestedAtMillis != Long.MIN_VALUE;
+        long sinceMillis = asked ? nowMillis - readRequestedAtMillis : Long.MAX_VALUE;
+        boolean waits = readInFlight && sinceMillis < READ_TIMEOUT_MILLIS;
+        if (orderInFlight != null || waits || sinceMillis < pollMillis) {
             return false;
         }
-        reading = true;
-        readAskedAtMillis = nowMillis;
+        readInFlight = true;
+        readRequestedAtMillis = nowMillis;
         return true;
     }
 
@@ -149,15 +149,15 @@
      * @return step; empty when there is none or it must wait
      */
     public Optional<OrderStep> nextStep(long fencingNumber, long nowMillis) {
-        boolean known = state != null && !reading && nowMillis - stateAtMillis <= MAX_STATE_AGE_MILLIS;
-        if (!known || state.getLoading() || outstanding != null) {
+        boolean known = state != null && !readInFlight && nowMillis - stateAtMillis <= MAX_STATE_AGE_MILLIS;
+        if (!known || state.getLoading() || orderInFlight != null) {
             return Optional.empty();
         }
         boolean early = nowMillis < notBeforeMillis;
-        if (early || fencingNumber < overruledAt) {
+        if (early || fencingNumber < minFencingNumber) {
             return Optional.empty();
         }
-        return steps().stream().findFirst();
+        return missingSteps().stream().findFirst();
     }
 
     /**
@@ -165,8 +165,8 @@
      *
      * @return steps; empty when there is none or the engine was not read
      */
-    public List<OrderStep> steps() {
-        return state == null || goal == null ? List.of() : goal.steps(state);
+    public List<OrderStep> missingSteps() {
+        return state == null || desiredState == null ? List.of() : desiredState.missingSteps(state);
     }
 
     /**
@@ -174,8 +174,8 @@
      *
      * @return need
      */
-    public LoadNeed need() {
-        return state == null ? LoadNeed.SERVES_NOTHING : goal.need(state);
+    public LoadPriority loadPriority() {
+        return state == null ? LoadPriority.SERVES_NOTHING : desiredState.loadPriority(state);
     }
 
     /**
@@ -183,8 +183,8 @@
      *
      * @return false also when it was not read
      */
-    public boolean isInStep() {
-        return state != null && !state.getLoading() && steps().isEmpty();
+    public boolean isConverged() {
+        return state != null && !state.getLoading() && missingSteps().isEmpty();
     }
 
     /**
@@ -202,21 +202,21 @@
      * @return {@code in-step}, {@code ordered}, {@code waiting} or {@code unreachable}
      */
     public String stateName() {
-        if (!problem.isEmpty()) {
+        if (!readError.isEmpty()) {
             return "unreachable";
         }
-        if (outstanding != null || (state != null && state.getLoading())) {
+        if (orderInFlight != null || (state != null && state.getLoading())) {
             return "ordered";
         }
-        return isInStep() ? "in-step" : "waiting";
+        return isConverged() ? "in-step" : "waiting";
     }
 
-    private void pause(OrderStep step, long nowMillis) {
-        repeats = step.equals(lastStep) ? repeats + 1 : 0;
+    private void applyBackoff(OrderStep step, long nowMillis) {
+        repeatCount = step.equals(lastStep) ? repeatCount + 1 : 0;
         lastStep = step;
-        if (repeats > 0) {
+        if (repeatCount > 0) {
             // An engine that accepts an order and does not follow it must not wear the weight store out.
-            long pauseMillis = FIRST_PAUSE_MILLIS << Math.min(repeats, MAX_DOUBLINGS);
+            long pauseMillis = BASE_BACKOFF_MILLIS << Math.min(repeatCount, MAX_BACKOFF_DOUBLINGS);
             notBeforeMillis = Math.max(notBeforeMillis, nowMillis + pauseMillis);
         }
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/internal/Tenure.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/internal/Tenure.java
@@ -12,7 +12,7 @@
  * still be on its way. So a gap counts as a change of stewards.
  */
 public final class Tenure {
-    private final Map<String, Long> sinceMillis = new HashMap<>();
+    private final Map<String, Long> startMillis = new HashMap<>();
     private long revision;
 
     /**
@@ -25,10 +25,10 @@
     public void update(long newRevision, Set<String> targets, long nowMillis) {
         boolean gap = newRevision > revision + 1;
         if (gap) {
-            sinceMillis.clear();
+            startMillis.clear();
         }
-        sinceMillis.keySet().retainAll(new HashSet<>(targets));
-        targets.forEach(target -> sinceMillis.putIfAbsent(target, nowMillis));
+        startMillis.keySet().retainAll(new HashSet<>(targets));
+        targets.forEach(target -> startMillis.putIfAbsent(target, nowMillis));
         revision = newRevision;
     }
 
@@ -39,8 +39,8 @@
      * @param nowMillis monotonic clock
      * @return milliseconds; -1 when it is not the steward
      */
-    public long millis(String target, long nowMillis) {
-        Long since = sinceMillis.get(target);
+    public long durationMillis(String target, long nowMillis) {
+        Long since = startMillis.get(target);
         return since == null ? -1 : nowMillis - since;
     }
 }
