--- a/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/ActionRunner.java
+++ b/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/ActionRunner.java
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void on(HomeAction.TellOwner action) {
+    public void on(HomeAction.SendToOwner action) {
         Frame frame = action.frame();
         if (frame.hasEnqueue()) {
             String parent = spans.queueParent(frame.getEnqueue().getRequest());
@@ -59,7 +59,7 @@
     @Override
     public void on(HomeAction.Dispatch action) {
         targets.dispatch(
-                action, spans.targetParent(action.sequence(), action.place().target()));
+                action, spans.targetParent(action.sequence(), action.location().target()));
     }
 
     @Override
@@ -84,14 +84,14 @@
             return;
         }
         Receipt receipt = new Receipt(
-                action.place().target(),
-                action.place().address(),
-                action.place().port(),
-                action.place().stream(),
+                action.location().target(),
+                action.location().address(),
+                action.location().port(),
+                action.location().stream(),
                 action.organisation());
         Head.Builder head = Head.newBuilder()
                 .setRequestId(home.requestId(action.sequence()))
-                .setTarget(action.place().target());
+                .setTarget(action.location().target());
         node.document().ifPresent(document -> head.setReceipt(receipt.seal(new SealingKeys(document.sealingKeys()))));
         session.get().head(head.build());
     }
@@ -120,7 +120,7 @@
     }
 
     @Override
-    public void on(HomeAction.AnswerKept action) {
+    public void on(HomeAction.ReplayAnswer action) {
         Optional<CallerSession> session = sessions.remove(action.caller());
         if (session.isEmpty()) {
             return;
@@ -153,7 +153,7 @@
     }
 
     @Override
-    public void on(HomeAction.KeepAnswer action) {
+    public void on(HomeAction.CacheAnswer action) {
         answers.keep(action.sequence(), action.answer());
     }
 
@@ -170,7 +170,7 @@
     }
 
     @Override
-    public void on(HomeAction.Measure action) {
+    public void on(HomeAction.RecordMetrics action) {
         spans.ended(action.sequence(), action.outcome());
         metrics.ended(home.requestId(action.sequence()), action);
     }
@@ -184,7 +184,7 @@
         session.error(kind, Errors.of(outcome, requestId, elsewhere));
     }
 
-    private void replay(CallerSession session, HomeAction.AnswerKept action, Answer answer) {
+    private void replay(CallerSession session, HomeAction.ReplayAnswer action, Answer answer) {
         String requestId = home.requestId(action.sequence());
         String target = action.outcome().target();
         if (answer.texts().isEmpty()) {
--- a/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/CallerRequests.java
+++ b/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/CallerRequests.java
@@ -19,7 +19,7 @@
 import org.whinwharf.errors.Result;
 import org.whinwharf.errors.Success;
 import org.whinwharf.home.HomeEvent;
-import org.whinwharf.home.Place;
+import org.whinwharf.home.RequestLocation;
 import org.whinwharf.home.Submission;
 import org.whinwharf.home.TicketNumber;
 import org.whinwharf.runtime.node.Node;
@@ -111,7 +111,7 @@
                 (who, sequence) -> ask(
                         request,
                         false,
-                        handle -> new HomeEvent.CancelAsked(
+                        handle -> new HomeEvent.CancelRequested(
                                 handle, sequence, who.caller().organisation())));
     }
 
@@ -222,7 +222,8 @@
     }
 
     private Publisher<HttpResponse<?>> resumeAtTarget(HttpRequest<?> request, Receipt receipt, int fromIndex) {
-        Place place = new Place(receipt.target(), receipt.address(), receipt.port(), receipt.stream());
+        RequestLocation place =
+                new RequestLocation(receipt.target(), receipt.address(), receipt.port(), receipt.stream());
         return Mono.create(response -> {
             Disposable.Swap connection = Disposables.swap();
             HttpSession[] session = new HttpSession[1];
@@ -376,7 +377,7 @@
 
         void gone() {
             parts.sessions().remove(handle);
-            parts.home().put(new HomeEvent.CallerGone(handle));
+            parts.home().put(new HomeEvent.CallerDisconnected(handle));
         }
     }
 }
--- a/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/EntryMetrics.java
+++ b/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/EntryMetrics.java
@@ -43,7 +43,7 @@
         registry.counter("whinwharf.answers.cut", "cause", kind).increment();
     }
 
-    void ended(String requestId, HomeAction.Measure action) {
+    void ended(String requestId, HomeAction.RecordMetrics action) {
         String kind = action.outcome().error().map(ErrorKind::wireName).orElse(WHOLE);
         Tags tags = Tags.of(
                 "service",
@@ -72,7 +72,7 @@
         }
     }
 
-    private static void log(String requestId, HomeAction.Measure action, String kind) {
+    private static void log(String requestId, HomeAction.RecordMetrics action, String kind) {
         EventLog.event(LogEvent.REQUEST_ENDED)
                 .with(EventField.REQUEST, requestId)
                 .with(EventField.TARGET, action.outcome().target())
@@ -82,7 +82,7 @@
                 .with(EventField.PREFILL_TOKENS, action.times().prefillTokens())
                 .with(EventField.ANSWER_TOKENS, action.times().answerTokens())
                 .with(EventField.TOTAL_MILLIS, action.times().totalMillis())
-                .with(EventField.COME_BACK_MILLIS, action.outcome().comeBackMillis())
+                .with(EventField.COME_BACK_MILLIS, action.outcome().retryAfterMillis())
                 .call();
     }
 }
--- a/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/EntryPeers.java
+++ b/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/EntryPeers.java
@@ -24,7 +24,7 @@
     public void linkUp(PeerLink link) {
         if (link.peer().getRole() == Role.SCHEDULER) {
             schedulers.up(link);
-            home.put(new HomeEvent.OwnerUp(link.peer().getHost()));
+            home.put(new HomeEvent.OwnerConnected(link.peer().getHost()));
         } else if (link.peer().getRole() == Role.ENTRY) {
             relayClient.linkUp(link);
         }
@@ -43,7 +43,7 @@
     @Override
     public void linkDown(PeerLink link, String reason) {
         if (link.peer().getRole() == Role.SCHEDULER && schedulers.down(link)) {
-            home.put(new HomeEvent.OwnerDown(link.peer().getHost()));
+            home.put(new HomeEvent.OwnerDisconnected(link.peer().getHost()));
         } else if (link.peer().getRole() == Role.ENTRY) {
             relayClient.linkDown(link);
             relayServer.linkDown(link);
@@ -55,7 +55,7 @@
             case GRANT -> home.put(new HomeEvent.Granted(host, frame.getGrant()));
             case REFUSAL -> home.put(new HomeEvent.Refused(host, frame.getRefusal()));
             case RECALL -> home.put(new HomeEvent.Recalled(host, frame.getRecall()));
-            case SLICE_STATUS -> home.tryPut(new HomeEvent.StatusHeard(frame.getSliceStatus()));
+            case SLICE_STATUS -> home.tryPut(new HomeEvent.StatusReceived(frame.getSliceStatus()));
             default -> {
                 // Heartbeats and documents are the node's.
             }
--- a/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/EntryProcess.java
+++ b/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/EntryProcess.java
@@ -78,7 +78,7 @@
      */
     public CompletableFuture<Void> leave() {
         node.leave();
-        home.put(new HomeEvent.StopAsked());
+        home.put(new HomeEvent.StopRequested());
         return CompletableFuture.runAsync(this::awaitDrained);
     }
 
--- a/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/Errors.java
+++ b/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/Errors.java
@@ -24,7 +24,7 @@
 
     static AnswerError of(Outcome outcome, String requestId, List<EntryAddress> addresses) {
         ErrorKind kind = outcome.error().orElse(ErrorKind.INTERNAL);
-        return of(kind, outcome.detail(), outcome.comeBackMillis(), requestId, addresses);
+        return of(kind, outcome.detail(), outcome.retryAfterMillis(), requestId, addresses);
     }
 
     static AnswerError of(
--- a/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/RelayServer.java
+++ b/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/RelayServer.java
@@ -81,7 +81,7 @@
 
     private void gone(long handle) {
         sessions.remove(handle);
-        home.put(new HomeEvent.CallerGone(handle));
+        home.put(new HomeEvent.CallerDisconnected(handle));
     }
 
     private long remember(PeerLink link, long relay, RelaySession session) {
--- a/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/Targets.java
+++ b/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/Targets.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.whinwharf.home.HomeAction;
 import org.whinwharf.home.HomeEvent;
-import org.whinwharf.home.Place;
+import org.whinwharf.home.RequestLocation;
 import org.whinwharf.home.Submission;
 import org.whinwharf.lifecycle.Service;
 import org.whinwharf.runtime.duty.Duty;
@@ -101,14 +101,14 @@
     void resume(HomeAction.ResumeStream action) {
         long sequence = action.sequence();
         release(sequence);
-        HttpRequest<?> request = resumption(action.place(), action.fromIndex());
+        HttpRequest<?> request = resumption(action.location(), action.fromIndex());
         Flux<Event<String>> events = Mono.delay(Duration.ofMillis(action.delayMillis()))
                 .thenMany(Flux.from(streams.eventStream(request, String.class)));
         follow(sequence, events, failure -> home.put(resumeFailure(sequence, failure)));
     }
 
     /** Streams what a target has of a stream from an index on, for a caller whose home is gone. */
-    Flux<StreamToken> resumeDirectly(Place place, int fromIndex) {
+    Flux<StreamToken> resumeDirectly(RequestLocation place, int fromIndex) {
         HttpRequest<?> request = resumption(place, fromIndex);
         return Flux.from(streams.eventStream(request, String.class)).map(event -> parse(event.getData()));
     }
@@ -119,7 +119,7 @@
         if (!action.isEngine()) {
             return;
         }
-        String uri = base(action.place()) + "/v1/streams/" + action.place().stream();
+        String uri = base(action.location()) + "/v1/streams/" + action.location().stream();
         // The order may overtake the request on its way; the engine would then go on for nobody. So an engine that
         // does not know the stream is asked again.
         Mono.defer(() -> Mono.from(client.exchange(HttpRequest.DELETE(uri), byte[].class)))
@@ -141,14 +141,14 @@
 
     private void send(HomeAction.Dispatch action, String traceParent) {
         long sequence = action.sequence();
-        String requestId = action.place().stream();
+        String requestId = action.location().stream();
         guard.expect(requestId, sequence, action.gate());
         if (action.submission().isEngine()) {
-            HttpRequest<?> request = order(action.place(), action.submission(), traceParent);
+            HttpRequest<?> request = order(action.location(), action.submission(), traceParent);
             Flux<Event<String>> events = Flux.from(streams.eventStream(request, String.class));
             follow(sequence, events, failure -> home.put(sendFailure(action, failure)));
         } else {
-            call(action, plainCall(action.place(), action.submission(), traceParent));
+            call(action, plainCall(action.location(), action.submission(), traceParent));
         }
     }
 
@@ -157,7 +157,7 @@
         connections.put(sequence, connection);
         connection.replace(SilenceLimit.apply(events, STREAM_SILENCE)
                 .subscribe(
-                        event -> home.put(new HomeEvent.TokenArrived(sequence, parse(event.getData()))),
+                        event -> home.put(new HomeEvent.TokenReceived(sequence, parse(event.getData()))),
                         whenFailed,
                         () -> home.put(new HomeEvent.StreamBroken(sequence, EntryText.get("the-stream-ended")))));
     }
@@ -195,7 +195,7 @@
 
     private HomeEvent sendFailure(HomeAction.Dispatch action, Throwable failure) {
         long sequence = action.sequence();
-        guard.forget(action.place().stream());
+        guard.forget(action.location().stream());
         // A gate that can still be closed was not passed: not one byte of the request left, whatever went wrong.
         if (action.gate().close()) {
             return isConnectFailure(failure) ? new HomeEvent.ConnectFailed(sequence) : new HomeEvent.NotSent(sequence);
@@ -230,7 +230,7 @@
         return false;
     }
 
-    private static HttpRequest<?> order(Place place, Submission submission, String traceParent) {
+    private static HttpRequest<?> order(RequestLocation place, Submission submission, String traceParent) {
         StreamOrder order = StreamOrder.newBuilder()
                 .setId(place.stream())
                 .setModel(submission.model())
@@ -244,7 +244,7 @@
         return traced(request, traceParent);
     }
 
-    private static HttpRequest<?> plainCall(Place place, Submission submission, String traceParent) {
+    private static HttpRequest<?> plainCall(RequestLocation place, Submission submission, String traceParent) {
         String uri = base(place) + "/v1/calls/" + submission.callName();
         MutableHttpRequest<String> request = HttpRequest.POST(uri, submission.text())
                 .contentType(MediaType.APPLICATION_JSON_TYPE)
@@ -253,7 +253,7 @@
         return traced(request, traceParent);
     }
 
-    private static HttpRequest<?> resumption(Place place, int fromIndex) {
+    private static HttpRequest<?> resumption(RequestLocation place, int fromIndex) {
         String uri = base(place) + "/v1/streams/" + place.stream() + "?from=" + fromIndex;
         return HttpRequest.GET(uri).accept(MediaType.TEXT_EVENT_STREAM_TYPE);
     }
@@ -262,7 +262,7 @@
         return traceParent.isEmpty() ? request : request.header(TraceParent.HEADER, traceParent);
     }
 
-    private static String base(Place place) {
+    private static String base(RequestLocation place) {
         return "http://" + place.address() + ":" + place.port();
     }
 
--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeDriver.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeDriver.java
@@ -51,8 +51,8 @@
 
     static HomeDriver withOwners() {
         HomeDriver driver = new HomeDriver();
-        driver.on(new HomeEvent.OwnerUp(OWNER_A));
-        driver.on(new HomeEvent.OwnerUp(OWNER_B));
+        driver.on(new HomeEvent.OwnerConnected(OWNER_A));
+        driver.on(new HomeEvent.OwnerConnected(OWNER_B));
         return driver;
     }
 
@@ -127,7 +127,7 @@
                 .setText("t" + index)
                 .setLast(last)
                 .build();
-        return on(new HomeEvent.TokenArrived(sequence, token));
+        return on(new HomeEvent.TokenReceived(sequence, token));
     }
 
     /** Submits as caller 1, has the grant come, and sends. */
@@ -141,7 +141,7 @@
     /** Returns the owner that was asked last for a request. */
     String queuedAt(long sequence) {
         String owner = "";
-        for (HomeAction.TellOwner told : find(HomeAction.TellOwner.class)) {
+        for (HomeAction.SendToOwner told : find(HomeAction.SendToOwner.class)) {
             if (told.frame().hasEnqueue() && told.frame().getEnqueue().getRequest() == sequence) {
                 owner = told.owner();
             }
@@ -167,7 +167,7 @@
     }
 
     List<Finished> finished() {
-        return find(HomeAction.TellOwner.class).stream()
+        return find(HomeAction.SendToOwner.class).stream()
                 .filter(told -> told.frame().hasFinished())
                 .map(told -> told.frame().getFinished())
                 .toList();
@@ -217,7 +217,7 @@
             last(end.caller());
         } else if (action instanceof HomeAction.AnswerBody body) {
             last(body.caller());
-        } else if (action instanceof HomeAction.AnswerKept kept) {
+        } else if (action instanceof HomeAction.ReplayAnswer kept) {
             last(kept.caller());
         } else if (action instanceof HomeAction.AnswerState state) {
             last(state.caller());
--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/HomePropertyTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/HomePropertyTest.java
@@ -70,17 +70,21 @@
                 case 15 -> ifOut(sequence, new HomeEvent.StreamBroken(sequence, "cut"));
                 case 16 -> ifOut(sequence, new HomeEvent.StreamUnknown(sequence));
                 case 17 -> unanswered(sequence, salt);
-                case 18 -> driver.on(new HomeEvent.CancelAsked(++lastCaller, sequence, "orava"));
+                case 18 -> driver.on(new HomeEvent.CancelRequested(++lastCaller, sequence, "orava"));
                 case 19 -> goAway(1 + salt % Math.max(1, lastCaller));
                 case 20 -> driver.nowMillis += salt * 37L;
-                case 21 -> driver.on(salt % 2 == 0 ? new HomeEvent.OwnerDown(owner) : new HomeEvent.OwnerUp(owner));
+                case 21 ->
+                    driver.on(
+                            salt % 2 == 0
+                                    ? new HomeEvent.OwnerDisconnected(owner)
+                                    : new HomeEvent.OwnerConnected(owner));
                 case 22 -> changeView(salt);
                 default -> recallOrTick(sequence, salt);
             }
         }
 
         void finish() {
-            driver.on(new HomeEvent.StopAsked());
+            driver.on(new HomeEvent.StopRequested());
             for (int i = 0; i < 3; i++) {
                 driver.at(driver.nowMillis + HomeDriver.DEADLINE_MILLIS, new HomeEvent.Ticked());
             }
@@ -118,7 +122,7 @@
         private void goAway(long caller) {
             if (caller <= lastCaller) {
                 gone.add(caller);
-                driver.on(new HomeEvent.CallerGone(caller));
+                driver.on(new HomeEvent.CallerDisconnected(caller));
             }
         }
 
--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeTest.java
@@ -219,12 +219,12 @@
     void requestsOfADeadOwnerQueueElsewhereAndTheReturningOwnerHearsWhatIsInFlight() {
         driver.sent(request);
         driver.submit(2, request);
-        driver.on(new HomeEvent.OwnerDown(HomeDriver.OWNER_A));
+        driver.on(new HomeEvent.OwnerDisconnected(HomeDriver.OWNER_A));
         assertThat(driver.queuedAt(2), is(HomeDriver.OWNER_B));
-        driver.on(new HomeEvent.OwnerUp(HomeDriver.OWNER_A));
+        driver.on(new HomeEvent.OwnerConnected(HomeDriver.OWNER_A));
         driver.submit(3, request);
         assertThat(driver.queuedAt(3), is(HomeDriver.OWNER_A));
-        List<HomeAction.TellOwner> told = driver.find(HomeAction.TellOwner.class);
+        List<HomeAction.SendToOwner> told = driver.find(HomeAction.SendToOwner.class);
         List<InFlight> inFlight = told.get(told.size() - 1).frame().getEnqueue().getInFlightList();
         assertThat(
                 inFlight,
@@ -244,16 +244,16 @@
         driver.refuse(2, HomeDriver.OWNER_A, RefusalReason.OWNER_LEAVING);
         assertThat(driver.queuedAt(2), is(HomeDriver.OWNER_B));
         driver.token(1, 0, true);
-        List<String> told = driver.find(HomeAction.TellOwner.class).stream()
+        List<String> told = driver.find(HomeAction.SendToOwner.class).stream()
                 .filter(action -> action.frame().hasFinished())
-                .map(HomeAction.TellOwner::owner)
+                .map(HomeAction.SendToOwner::owner)
                 .toList();
         assertThat(told, is(List.of(HomeDriver.OWNER_A, HomeDriver.OWNER_B)));
     }
 
     @Test
     void ownerWithoutPledgesIsAskedAgainShortly() {
-        driver.on(new HomeEvent.OwnerDown(HomeDriver.OWNER_B));
+        driver.on(new HomeEvent.OwnerDisconnected(HomeDriver.OWNER_B));
         driver.submit(1, request);
         driver.refuse(1, HomeDriver.OWNER_A, RefusalReason.NOT_OWNER);
         assertThat(enqueues(), is(1L));
@@ -268,7 +268,7 @@
         driver.submit(1, request);
         assertThat(driver.queuedAt(1), is(HomeDriver.OWNER_A));
         driver.nowMillis += 500;
-        driver.on(new HomeEvent.StatusHeard(SliceStatus.newBuilder()
+        driver.on(new HomeEvent.StatusReceived(SliceStatus.newBuilder()
                 .setSlice(HomeDriver.SLICE_B)
                 .setFreeSlots(2)
                 .setUsableTargets(1)
@@ -300,7 +300,7 @@
     }
 
     private void hearWait(SliceId slice, long waitMillis) {
-        driver.on(new HomeEvent.StatusHeard(SliceStatus.newBuilder()
+        driver.on(new HomeEvent.StatusReceived(SliceStatus.newBuilder()
                 .setSlice(slice)
                 .setWaiting(50)
                 .setUsableTargets(1)
@@ -310,7 +310,7 @@
 
     @Test
     void shedRequestTriesOneOtherSliceWithRoom() {
-        driver.on(new HomeEvent.StatusHeard(SliceStatus.newBuilder()
+        driver.on(new HomeEvent.StatusReceived(SliceStatus.newBuilder()
                 .setSlice(HomeDriver.SLICE_B)
                 .setFreeSlots(1)
                 .setUsableTargets(1)
@@ -329,7 +329,7 @@
         driver.submit(1, request);
         driver.refuse(1, driver.queuedAt(1), RefusalReason.SHED);
         HomeAction.AnswerError error = last(driver.find(HomeAction.AnswerError.class));
-        assertThat(error.outcome().comeBackMillis(), is(1_000L));
+        assertThat(error.outcome().retryAfterMillis(), is(1_000L));
         assertThat(error.outcome().ran(), is(Ran.NOT_RUN));
     }
 
@@ -342,7 +342,7 @@
         driver.on(new HomeEvent.CallAnswered(1, 200, "text/plain", ByteString.copyFromUtf8("booked")));
         driver.submit(3, HomeDriver.booking(0).call());
         assertThat(driver.find(HomeAction.AnswerBody.class), hasSize(2));
-        assertThat(driver.find(HomeAction.AnswerKept.class), hasSize(1));
+        assertThat(driver.find(HomeAction.ReplayAnswer.class), hasSize(1));
         assertThat(driver.find(HomeAction.Dispatch.class), hasSize(1));
     }
 
@@ -379,7 +379,7 @@
     @Test
     void callerThatGoesAwayEndsItsWorkAndGivesTheSlotBack() {
         driver.sent(request);
-        driver.on(new HomeEvent.CallerGone(1));
+        driver.on(new HomeEvent.CallerDisconnected(1));
         assertThat(driver.find(HomeAction.CancelAtTarget.class), hasSize(1));
         assertThat(last(driver.finished()).getKind(), is(FinishKind.CANCELLED));
     }
@@ -393,11 +393,11 @@
                 .call();
         driver.sent(numbered);
         driver.token(1, 0, false);
-        driver.on(new HomeEvent.CallerGone(1));
+        driver.on(new HomeEvent.CallerDisconnected(1));
         driver.submit(2, numbered);
         driver.at(driver.nowMillis + 5_000, new HomeEvent.Ticked());
         assertThat(driver.find(HomeAction.CancelAtTarget.class), is(empty()));
-        driver.on(new HomeEvent.CallerGone(2));
+        driver.on(new HomeEvent.CallerDisconnected(2));
         driver.at(driver.nowMillis + 2_000, new HomeEvent.Ticked());
         assertThat(driver.find(HomeAction.CancelAtTarget.class), hasSize(1));
         assertThat(driver.textOf(2), is("t0"));
@@ -408,12 +408,12 @@
     @Test
     void callThatMayNotBeRepeatedRunsOnWithoutItsCaller() {
         driver.sent(HomeDriver.booking(0).call());
-        driver.on(new HomeEvent.CallerGone(1));
+        driver.on(new HomeEvent.CallerDisconnected(1));
         driver.at(driver.nowMillis + 5_000, new HomeEvent.Ticked());
         assertThat(driver.find(HomeAction.CancelAtTarget.class), is(empty()));
         driver.on(new HomeEvent.CallAnswered(1, 200, "text/plain", ByteString.EMPTY));
         driver.submit(2, HomeDriver.booking(0).call());
-        assertThat(driver.find(HomeAction.AnswerKept.class), hasSize(1));
+        assertThat(driver.find(HomeAction.ReplayAnswer.class), hasSize(1));
     }
 
     @Test
@@ -429,7 +429,7 @@
     void plannedStopTurnsFreshRequestsAwayAndFinishesTheRest() {
         driver.sent(request);
         driver.submit(2, request);
-        driver.on(new HomeEvent.StopAsked());
+        driver.on(new HomeEvent.StopRequested());
         driver.submit(3, request);
         assertThat(driver.errorOf(3), is("host-leaving"));
         driver.grant(2, driver.queuedAt(2), driver.nowMillis);
@@ -472,7 +472,7 @@
     }
 
     private long enqueues() {
-        return driver.find(HomeAction.TellOwner.class).stream()
+        return driver.find(HomeAction.SendToOwner.class).stream()
                 .filter(told -> told.frame().hasEnqueue())
                 .count();
     }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/routing/RoutingPolicyTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/routing/RoutingPolicyTest.java
@@ -17,7 +17,7 @@
     private static final SliceId NEAR = slice("zone-a");
     private static final SliceId FAR = slice("zone-b");
     private static final RoutingRequest SHORT = new RoutingRequest(1, List.of());
-    private final SliceBoard board = new SliceBoard();
+    private final SliceTracker board = new SliceTracker();
     private final UniformRandomProvider random = RandomSource.SPLIT_MIX_64.create(3L);
 
     @Test
@@ -42,8 +42,8 @@
     @Test
     void oldWordOfAFreeSliceCountsAsUnknown() {
         hear(NEAR, 0, 0);
-        assertThat(board.expectedWaitMillis(NEAR, 1, 10_000), is(SliceBoard.UNKNOWN_WAIT_MILLIS));
-        assertThat(board.hasRoom(NEAR, 10_000), is(false));
+        assertThat(board.estimatedWaitMillis(NEAR, 1, 10_000), is(SliceTracker.UNKNOWN_WAIT_MILLIS));
+        assertThat(board.hasAvailableSlots(NEAR, 10_000), is(false));
     }
 
     @Test
@@ -51,7 +51,7 @@
         RoutingRequest session = new RoutingRequest(1, PrefixDigests.of("s".repeat(4_096)));
         hear(NEAR, 0, 0);
         hear(FAR, 0, 0);
-        board.sent(session, FAR);
+        board.recordDispatch(session, FAR);
         assertThat(choose(session, 0), is(FAR));
         hear(FAR, 1, 5_000);
         assertThat(choose(session, 0), is(not(FAR)));
@@ -59,7 +59,7 @@
 
     @Test
     void sliceWithoutTargetsIsLeftOut() {
-        board.hear(SliceStatus.newBuilder().setSlice(NEAR).build(), 0);
+        board.updateStatus(SliceStatus.newBuilder().setSlice(NEAR).build(), 0);
         hear(FAR, 1, 5_000);
         for (RoutingPolicy policy : RoutingPolicy.values()) {
             assertThat(policy.choose(List.of(NEAR, FAR), SHORT, board, zone -> 0, random, 0), is(FAR));
@@ -72,7 +72,7 @@
     }
 
     private void hear(SliceId slice, int waiting, long waitMillis) {
-        board.hear(
+        board.updateStatus(
                 SliceStatus.newBuilder()
                         .setSlice(slice)
                         .setUsableTargets(1)
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Delivery.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Delivery.java
@@ -27,7 +27,7 @@
         }
         request.phase = RequestPhase.SENT;
         request.sentAtMillis = state.nowMillis;
-        state.board.sent(request.routing, request.grant.getSlice());
+        state.board.recordDispatch(request.routing, request.grant.getSlice());
         state.note(request, HomeNote.SENT, request.place.target());
         request.callers.keySet().forEach(caller -> head(caller, request));
     }
@@ -98,7 +98,8 @@
         if (!request.wasSent()) {
             return;
         }
-        boolean mayResume = request.submission.isEngine() && request.resumeAttempts < state.settings.resumeAttempts();
+        boolean mayResume =
+                request.submission.isEngine() && request.resumeAttempts < state.settings.maxResumeAttempts();
         if (!mayResume) {
             lost(request, reason);
             return;
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Ending.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Ending.java
@@ -52,13 +52,13 @@
     /** Ends a request that was sent. */
     void fail(Request request, ErrorKind kind, String detail, FinishKind finish) {
         String target = request.place == null ? "" : request.place.target();
-        end(request, Outcome.failed(kind, detail, state.settings.comeBackMillis(), target), finish);
+        end(request, Outcome.failed(kind, detail, state.settings.defaultRetryAfterMillis(), target), finish);
     }
 
     /** Ends a request whose answer is whole. */
     void complete(Request request, Answer answer) {
-        state.emit(new HomeAction.KeepAnswer(request.sequence, answer));
-        Outcome outcome = Outcome.whole(request.place.target(), request.assembler.nextIndex());
+        state.emit(new HomeAction.CacheAnswer(request.sequence, answer));
+        Outcome outcome = Outcome.completed(request.place.target(), request.assembler.nextIndex());
         end(request, outcome, FinishKind.COMPLETED);
     }
 
@@ -84,7 +84,7 @@
                 HomeNote.ENDED,
                 outcome.error().map(ErrorKind::wireName).orElse("whole"));
         RequestTimes times = request.times(state.nowMillis);
-        state.emit(new HomeAction.Measure(request.sequence, request.submission, outcome, times));
+        state.emit(new HomeAction.RecordMetrics(request.sequence, request.submission, outcome, times));
     }
 
     /** Takes a request out of the queue it waits in. */
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Home.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Home.java
@@ -126,12 +126,12 @@
         }
 
         @Override
-        public void on(HomeEvent.CancelAsked event) {
+        public void on(HomeEvent.CancelRequested event) {
             intake.cancelAsked(event.caller(), event.sequence(), event.organisation());
         }
 
         @Override
-        public void on(HomeEvent.CallerGone event) {
+        public void on(HomeEvent.CallerDisconnected event) {
             intake.callerGone(event.caller());
         }
 
@@ -156,17 +156,17 @@
         }
 
         @Override
-        public void on(HomeEvent.StatusHeard event) {
-            state.board.hear(event.status(), state.nowMillis);
+        public void on(HomeEvent.StatusReceived event) {
+            state.board.updateStatus(event.status(), state.nowMillis);
         }
 
         @Override
-        public void on(HomeEvent.OwnerUp event) {
+        public void on(HomeEvent.OwnerConnected event) {
             queueing.ownerUp(event.owner());
         }
 
         @Override
-        public void on(HomeEvent.OwnerDown event) {
+        public void on(HomeEvent.OwnerDisconnected event) {
             queueing.ownerDown(event.owner());
         }
 
@@ -202,7 +202,7 @@
         }
 
         @Override
-        public void on(HomeEvent.TokenArrived event) {
+        public void on(HomeEvent.TokenReceived event) {
             withLive(event.sequence(), request -> delivery.token(request, event.token()));
         }
 
@@ -224,7 +224,7 @@
         }
 
         @Override
-        public void on(HomeEvent.StopAsked event) {
+        public void on(HomeEvent.StopRequested event) {
             state.leaving = true;
         }
 
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeAction.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeAction.java
@@ -14,11 +14,11 @@
     /** Carries actions out. */
     interface Handler {
         /**
-         * Handles {@link TellOwner}.
+         * Handles {@link SendToOwner}.
          *
          * @param action what happens
          */
-        void on(TellOwner action);
+        void on(SendToOwner action);
 
         /**
          * Handles {@link Dispatch}.
@@ -84,11 +84,11 @@
         void on(AnswerError action);
 
         /**
-         * Handles {@link AnswerKept}.
+         * Handles {@link ReplayAnswer}.
          *
          * @param action what happens
          */
-        void on(AnswerKept action);
+        void on(ReplayAnswer action);
 
         /**
          * Handles {@link AnswerState}.
@@ -98,11 +98,11 @@
         void on(AnswerState action);
 
         /**
-         * Handles {@link KeepAnswer}.
+         * Handles {@link CacheAnswer}.
          *
          * @param action what happens
          */
-        void on(KeepAnswer action);
+        void on(CacheAnswer action);
 
         /**
          * Handles {@link Note}.
@@ -112,11 +112,11 @@
         void on(Note action);
 
         /**
-         * Handles {@link Measure}.
+         * Handles {@link RecordMetrics}.
          *
          * @param action what happens
          */
-        void on(Measure action);
+        void on(RecordMetrics action);
     }
 
     /**
@@ -125,7 +125,7 @@
      * @param owner host
      * @param frame the frame
      */
-    record TellOwner(String owner, Frame frame) implements HomeAction {
+    record SendToOwner(String owner, Frame frame) implements HomeAction {
         @Override
         public void accept(Handler handler) {
             handler.on(this);
@@ -136,11 +136,12 @@
      * Send the request to a target, if its gate still lets it. Comes at most once for a request that left.
      *
      * @param sequence request, unique in this incarnation
-     * @param place where the request is
+     * @param location where the request is
      * @param submission the request
      * @param gate to be asked right before sending
      */
-    record Dispatch(long sequence, Place place, Submission submission, SendGate gate) implements HomeAction {
+    record Dispatch(long sequence, RequestLocation location, Submission submission, SendGate gate)
+            implements HomeAction {
         @Override
         public void accept(Handler handler) {
             handler.on(this);
@@ -151,11 +152,12 @@
      * Take up a stream again that the target already has. Starts nothing.
      *
      * @param sequence request, unique in this incarnation
-     * @param place where the request is
+     * @param location where the request is
      * @param fromIndex first token that is lacking
      * @param delayMillis how long to wait before
      */
-    record ResumeStream(long sequence, Place place, int fromIndex, long delayMillis) implements HomeAction {
+    record ResumeStream(long sequence, RequestLocation location, int fromIndex, long delayMillis)
+            implements HomeAction {
         @Override
         public void accept(Handler handler) {
             handler.on(this);
@@ -166,10 +168,10 @@
      * End the work at the target.
      *
      * @param sequence request, unique in this incarnation
-     * @param place where the request is
+     * @param location where the request is
      * @param isEngine false for plain services, which know no cancelling
      */
-    record CancelAtTarget(long sequence, Place place, boolean isEngine) implements HomeAction {
+    record CancelAtTarget(long sequence, RequestLocation location, boolean isEngine) implements HomeAction {
         @Override
         public void accept(Handler handler) {
             handler.on(this);
@@ -193,10 +195,10 @@
      *
      * @param caller handle of the connection
      * @param sequence request, unique in this incarnation
-     * @param place where the request is
+     * @param location where the request is
      * @param organisation organisation of the request
      */
-    record AnswerHead(long caller, long sequence, Place place, String organisation) implements HomeAction {
+    record AnswerHead(long caller, long sequence, RequestLocation location, String organisation) implements HomeAction {
         @Override
         public void accept(Handler handler) {
             handler.on(this);
@@ -269,7 +271,7 @@
      * @param fromIndex first token that the caller lacks
      * @param outcome how the request ended
      */
-    record AnswerKept(long caller, long sequence, int fromIndex, Outcome outcome) implements HomeAction {
+    record ReplayAnswer(long caller, long sequence, int fromIndex, Outcome outcome) implements HomeAction {
         @Override
         public void accept(Handler handler) {
             handler.on(this);
@@ -297,7 +299,7 @@
      * @param sequence request, unique in this incarnation
      * @param answer the answer
      */
-    record KeepAnswer(long sequence, Answer answer) implements HomeAction {
+    record CacheAnswer(long sequence, Answer answer) implements HomeAction {
         @Override
         public void accept(Handler handler) {
             handler.on(this);
@@ -326,7 +328,8 @@
      * @param outcome how it ended
      * @param times its times and token counts
      */
-    record Measure(long sequence, Submission submission, Outcome outcome, RequestTimes times) implements HomeAction {
+    record RecordMetrics(long sequence, Submission submission, Outcome outcome, RequestTimes times)
+            implements HomeAction {
         @Override
         public void accept(Handler handler) {
             handler.on(this);
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeEvent.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeEvent.java
@@ -79,7 +79,7 @@
      * @param sequence request, unique in this incarnation
      * @param organisation organisation of the caller
      */
-    record CancelAsked(long caller, long sequence, String organisation) implements HomeEvent {
+    record CancelRequested(long caller, long sequence, String organisation) implements HomeEvent {
         @Override
         public void accept(HomeEventHandler handler) {
             handler.on(this);
@@ -91,7 +91,7 @@
      *
      * @param caller handle of the connection that asked
      */
-    record CallerGone(long caller) implements HomeEvent {
+    record CallerDisconnected(long caller) implements HomeEvent {
         @Override
         public void accept(HomeEventHandler handler) {
             handler.on(this);
@@ -154,7 +154,7 @@
      *
      * @param status its word
      */
-    record StatusHeard(SliceStatus status) implements HomeEvent {
+    record StatusReceived(SliceStatus status) implements HomeEvent {
         @Override
         public void accept(HomeEventHandler handler) {
             handler.on(this);
@@ -166,7 +166,7 @@
      *
      * @param owner host whose scheduler spoke
      */
-    record OwnerUp(String owner) implements HomeEvent {
+    record OwnerConnected(String owner) implements HomeEvent {
         @Override
         public void accept(HomeEventHandler handler) {
             handler.on(this);
@@ -178,7 +178,7 @@
      *
      * @param owner host whose scheduler spoke
      */
-    record OwnerDown(String owner) implements HomeEvent {
+    record OwnerDisconnected(String owner) implements HomeEvent {
         @Override
         public void accept(HomeEventHandler handler) {
             handler.on(this);
@@ -264,7 +264,7 @@
      * @param sequence request, unique in this incarnation
      * @param token the token
      */
-    record TokenArrived(long sequence, StreamToken token) implements HomeEvent {
+    record TokenReceived(long sequence, StreamToken token) implements HomeEvent {
         @Override
         public void accept(HomeEventHandler handler) {
             handler.on(this);
@@ -312,7 +312,7 @@
     }
 
     /** A planned stop begins. */
-    record StopAsked() implements HomeEvent {
+    record StopRequested() implements HomeEvent {
         @Override
         public void accept(HomeEventHandler handler) {
             handler.on(this);
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeEventHandler.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeEventHandler.java
@@ -31,18 +31,18 @@
     void on(HomeEvent.NumberLookedUp event);
 
     /**
-     * Handles {@link HomeEvent.CancelAsked}.
+     * Handles {@link HomeEvent.CancelRequested}.
      *
      * @param event what happens
      */
-    void on(HomeEvent.CancelAsked event);
+    void on(HomeEvent.CancelRequested event);
 
     /**
-     * Handles {@link HomeEvent.CallerGone}.
+     * Handles {@link HomeEvent.CallerDisconnected}.
      *
      * @param event what happens
      */
-    void on(HomeEvent.CallerGone event);
+    void on(HomeEvent.CallerDisconnected event);
 
     /**
      * Handles {@link HomeEvent.CallerSlow}.
@@ -73,25 +73,25 @@
     void on(HomeEvent.Recalled event);
 
     /**
-     * Handles {@link HomeEvent.StatusHeard}.
+     * Handles {@link HomeEvent.StatusReceived}.
      *
      * @param event what happens
      */
-    void on(HomeEvent.StatusHeard event);
+    void on(HomeEvent.StatusReceived event);
 
     /**
-     * Handles {@link HomeEvent.OwnerUp}.
+     * Handles {@link HomeEvent.OwnerConnected}.
      *
      * @param event what happens
      */
-    void on(HomeEvent.OwnerUp event);
+    void on(HomeEvent.OwnerConnected event);
 
     /**
-     * Handles {@link HomeEvent.OwnerDown}.
+     * Handles {@link HomeEvent.OwnerDisconnected}.
      *
      * @param event what happens
      */
-    void on(HomeEvent.OwnerDown event);
+    void on(HomeEvent.OwnerDisconnected event);
 
     /**
      * Handles {@link HomeEvent.ViewChanged}.
@@ -136,11 +136,11 @@
     void on(HomeEvent.TargetFailed event);
 
     /**
-     * Handles {@link HomeEvent.TokenArrived}.
+     * Handles {@link HomeEvent.TokenReceived}.
      *
      * @param event what happens
      */
-    void on(HomeEvent.TokenArrived event);
+    void on(HomeEvent.TokenReceived event);
 
     /**
      * Handles {@link HomeEvent.CallAnswered}.
@@ -164,11 +164,11 @@
     void on(HomeEvent.StreamUnknown event);
 
     /**
-     * Handles {@link HomeEvent.StopAsked}.
+     * Handles {@link HomeEvent.StopRequested}.
      *
      * @param event what happens
      */
-    void on(HomeEvent.StopAsked event);
+    void on(HomeEvent.StopRequested event);
 
     /**
      * Handles {@link HomeEvent.Ticked}.
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeSettings.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeSettings.java
@@ -62,7 +62,7 @@
      * @return count
      */
     @Value.Default
-    default int maxEnded() {
+    default int maxEndedRequests() {
         return 16_384;
     }
 
@@ -82,7 +82,7 @@
      * @return milliseconds
      */
     @Value.Default
-    default long placeRetryMillis() {
+    default long placementRetryIntervalMillis() {
         return 50;
     }
 
@@ -92,7 +92,7 @@
      * @return milliseconds
      */
     @Value.Default
-    default long reconsiderMillis() {
+    default long reconsiderIntervalMillis() {
         return 500;
     }
 
@@ -102,7 +102,7 @@
      * @return milliseconds
      */
     @Value.Default
-    default long comeBackMillis() {
+    default long defaultRetryAfterMillis() {
         return 1_000;
     }
 
@@ -112,7 +112,7 @@
      * @return count
      */
     @Value.Default
-    default int resumeAttempts() {
+    default int maxResumeAttempts() {
         return 6;
     }
 
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeState.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeState.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import org.whinwharf.errors.ErrorKind;
-import org.whinwharf.routing.SliceBoard;
+import org.whinwharf.routing.SliceTracker;
 import org.whinwharf.ticket.RequestId;
 
 /** State that the parts of a home share while they handle an event. */
 final class HomeState {
     final HomeSettings settings;
-    final SliceBoard board = new SliceBoard();
+    final SliceTracker board = new SliceTracker();
     final RetryBudget budget = new RetryBudget();
     final TicketTable tickets;
     final Map<Long, Request> live = new LinkedHashMap<>();
@@ -36,7 +36,7 @@
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<Long, Ended> eldest) {
-                return size() > settings.maxEnded();
+                return size() > settings.maxEndedRequests();
             }
         };
     }
@@ -64,7 +64,7 @@
     }
 
     Outcome failed(ErrorKind kind, String detail) {
-        return Outcome.failed(kind, detail, settings.comeBackMillis(), "");
+        return Outcome.failed(kind, detail, settings.defaultRetryAfterMillis(), "");
     }
 
     void schedule(Request request) {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Intake.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Intake.java
@@ -188,7 +188,7 @@
         } else if (ended.outcome().error().isPresent()) {
             tell(caller, sequence, ended.outcome());
         } else {
-            state.emit(new HomeAction.AnswerKept(caller, sequence, fromIndex, ended.outcome()));
+            state.emit(new HomeAction.ReplayAnswer(caller, sequence, fromIndex, ended.outcome()));
         }
     }
 
@@ -255,7 +255,7 @@
 
     private void tellState(long caller, Request request) {
         String target = request.place == null ? "" : request.place.target();
-        Outcome soFar = Outcome.whole(target, request.assembler.nextIndex());
+        Outcome soFar = Outcome.completed(target, request.assembler.nextIndex());
         state.emit(new HomeAction.AnswerState(caller, request.sequence, request.phase, soFar));
     }
 
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Outcome.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Outcome.java
@@ -9,11 +9,11 @@
  *
  * @param error kind of the error, or nothing when the answer is whole
  * @param detail what exactly happened, for people
- * @param comeBackMillis when to come back; 0 when the kind says nothing of it
+ * @param retryAfterMillis when to come back; 0 when the kind says nothing of it
  * @param target target that the request was sent to; empty when it was not sent
  * @param tokens tokens of the answer
  */
-public record Outcome(Optional<ErrorKind> error, String detail, long comeBackMillis, String target, int tokens) {
+public record Outcome(Optional<ErrorKind> error, String detail, long retryAfterMillis, String target, int tokens) {
     /**
      * Makes the outcome of a whole answer.
      *
@@ -21,7 +21,7 @@
      * @param tokens tokens of the answer
      * @return outcome without error
      */
-    public static Outcome whole(String target, int tokens) {
+    public static Outcome completed(String target, int tokens) {
         return new Outcome(Optional.empty(), "", 0, target, tokens);
     }
 
@@ -30,7 +30,7 @@
      *
      * @param kind which error
      * @param detail what exactly happened
-     * @param comeBackMillis when to come back
+     * @param retryAfterMillis when to come back
      * @param target who was asked; empty when nobody was
      * @return outcome with the error
      */
--- a/org.whinwharf/src/main/java/org/whinwharf/home/OwnerLinks.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/OwnerLinks.java
@@ -47,7 +47,7 @@
 
     void tell(String owner, Frame frame) {
         if (linked.contains(owner)) {
-            state.emit(new HomeAction.TellOwner(owner, frame));
+            state.emit(new HomeAction.SendToOwner(owner, frame));
         }
     }
 
@@ -71,8 +71,8 @@
         request.slice = slice;
         request.owner = owner;
         request.queuedAtMillis = state.nowMillis;
-        request.reconsiderAtMillis = state.nowMillis + state.settings.reconsiderMillis();
-        state.board.queued(slice);
+        request.reconsiderAtMillis = state.nowMillis + state.settings.reconsiderIntervalMillis();
+        state.board.recordQueued(slice);
         state.schedule(request);
         tell(owner, Frame.newBuilder().setEnqueue(enqueue).build());
         state.note(request, HomeNote.ENQUEUED, HomeText.get("enqueued", owner, name(slice)));
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Queueing.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Queueing.java
@@ -43,7 +43,7 @@
                 .filter(slice -> owners.reachable(slice, request.refusingOwners).isPresent())
                 .toList();
         if (open.isEmpty()) {
-            request.retryAtMillis = state.nowMillis + state.settings.placeRetryMillis();
+            request.retryAtMillis = state.nowMillis + state.settings.placementRetryIntervalMillis();
             state.note(request, HomeNote.UNPLACED, HomeText.get("no-owner-can-be-reached"));
             state.schedule(request);
             return;
@@ -59,21 +59,21 @@
 
     /** Moves a request that waits long to a slice with room, or to one that serves its tier sooner, if there is one. */
     void reconsider(Request request) {
-        request.reconsiderAtMillis = state.nowMillis + state.settings.reconsiderMillis();
+        request.reconsiderAtMillis = state.nowMillis + state.settings.reconsiderIntervalMillis();
         long waitedMillis = state.nowMillis - request.queuedAtMillis;
-        state.board.stalled(request.slice, waitedMillis, state.nowMillis);
+        state.board.recordStall(request.slice, waitedMillis, state.nowMillis);
         SliceId present = request.slice;
         Optional<SliceId> other = otherWithRoom(request)
                 .or(() -> otherWithShorterWait(request, waitedMillis))
                 .filter(slice -> !slice.equals(present));
-        if (other.isPresent() && !state.board.hasRoom(present, state.nowMillis)) {
+        if (other.isPresent() && !state.board.hasAvailableSlots(present, state.nowMillis)) {
             ending.withdraw(request);
             enqueue(request, other.get());
         }
     }
 
     void granted(String owner, Grant grant) {
-        state.board.granted(grant.getSlice());
+        state.board.recordGrant(grant.getSlice());
         Request request = state.live.get(grant.getRequest());
         if (request == null || !isAwaited(request, owner, grant)) {
             owners.returnUnused(owner, grant);
@@ -113,7 +113,7 @@
         } else {
             // Turning it away would shed a high tier while lower ones wait. It waits instead, so that many dead targets
             // at once do not make a storm of messages.
-            request.retryAtMillis = state.nowMillis + state.settings.comeBackMillis();
+            request.retryAtMillis = state.nowMillis + state.settings.defaultRetryAfterMillis();
             state.schedule(request);
         }
     }
@@ -219,7 +219,7 @@
         request.grantOwner = owner;
         request.gate = new SendGate(Math.min(grantEndsMillis, request.deadlineAtMillis));
         String stream = state.requestId(request.sequence);
-        request.place = new Place(grant.getTarget(), grant.getAddress(), grant.getPort(), stream);
+        request.place = new RequestLocation(grant.getTarget(), grant.getAddress(), grant.getPort(), stream);
         state.note(request, HomeNote.GRANTED, HomeText.get("granted", grant.getTarget(), owner));
         state.emit(new HomeAction.Dispatch(request.sequence, request.place, request.submission, request.gate));
     }
@@ -256,7 +256,7 @@
     private Optional<SliceId> otherWithRoom(Request request) {
         List<SliceId> roomy = inService(request).stream()
                 .filter(slice -> !request.excludedSlices.contains(slice))
-                .filter(slice -> state.board.hasRoom(slice, state.nowMillis))
+                .filter(slice -> state.board.hasAvailableSlots(slice, state.nowMillis))
                 .filter(slice -> owners.reachable(slice, request.refusingOwners).isPresent())
                 .toList();
         return roomy.isEmpty() ? Optional.empty() : Optional.of(choose(request, roomy));
@@ -266,7 +266,7 @@
     // owners know nothing of each other. A request moves to an owner that expects to serve its tier clearly sooner than
     // this one has let it wait; it must wait again before it moves again.
     private Optional<SliceId> otherWithShorterWait(Request request, long waitedMillis) {
-        long boundMillis = waitedMillis - state.settings.reconsiderMillis();
+        long boundMillis = waitedMillis - state.settings.reconsiderIntervalMillis();
         int rank = request.submission.tierRank();
         List<SliceId> shorter = inService(request).stream()
                 .filter(slice -> !slice.equals(request.slice))
@@ -278,8 +278,9 @@
     }
 
     private void turnAway(Request request, ErrorKind kind, String detail, Refusal refusal) {
-        long comeBackMillis =
-                refusal.getComeBackMillis() > 0 ? refusal.getComeBackMillis() : state.settings.comeBackMillis();
+        long comeBackMillis = refusal.getComeBackMillis() > 0
+                ? refusal.getComeBackMillis()
+                : state.settings.defaultRetryAfterMillis();
         ending.end(request, Outcome.failed(kind, detail, comeBackMillis, ""), FinishKind.UNUSED);
     }
 
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Request.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Request.java
@@ -46,7 +46,7 @@
     final Set<String> countingOwners = new HashSet<>();
 
     SendGate gate;
-    Place place;
+    RequestLocation place;
     long sentAtMillis = NEVER;
     long firstTokenAtMillis = NEVER;
     int prefillTokens;
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Place.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/RequestLocation.java
@@ -8,4 +8,4 @@
  * @param port TCP port of the target
  * @param stream identifier of the request at the target
  */
-public record Place(String target, String address, int port, String stream) {}
+public record RequestLocation(String target, String address, int port, String stream) {}
--- a/org.whinwharf/src/main/java/org/whinwharf/routing/RoutingPolicy.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/routing/RoutingPolicy.java
@@ -65,12 +65,12 @@
     public SliceId choose(
             List<SliceId> slices,
             RoutingRequest request,
-            SliceBoard board,
+            SliceTracker board,
             ToDoubleFunction<String> distance,
             UniformRandomProvider random,
             long nowMillis) {
         List<SliceId> fertile = slices.stream()
-                .filter(slice -> !board.isBarren(slice, nowMillis))
+                .filter(slice -> !board.hasNoUsableTarget(slice, nowMillis))
                 .toList();
         List<SliceId> open = fertile.isEmpty() ? slices : fertile;
         return pick(new Choice(open, request, board, distance, random, nowMillis));
@@ -81,7 +81,7 @@
     private record Choice(
             List<SliceId> slices,
             RoutingRequest request,
-            SliceBoard board,
+            SliceTracker board,
             ToDoubleFunction<String> distance,
             UniformRandomProvider random,
             long nowMillis) {
@@ -100,15 +100,15 @@
             List<SliceId> others = new ArrayList<>(among);
             SliceId one = others.remove(random.nextInt(others.size()));
             SliceId other = any(others);
-            return board.room(one) >= board.room(other) ? one : other;
+            return board.availableSlots(one) >= board.availableSlots(other) ? one : other;
         }
 
         double waitMillis(SliceId slice) {
-            return board.expectedWaitMillis(slice, request.tierRank(), nowMillis);
+            return board.estimatedWaitMillis(slice, request.tierRank(), nowMillis);
         }
 
         ToDoubleFunction<SliceId> score() {
-            SliceBoard.SharedPrefix cached = cached();
+            SliceTracker.SharedPrefix cached = cached();
             return slice -> waitMillis(slice)
                     + distance.applyAsDouble(slice.getDataCentre())
                     - (cached != null && cached.slice().equals(slice) ? cached.tokens() * PREFILL_MILLIS_PER_TOKEN : 0);
@@ -116,19 +116,19 @@
 
         // A prefix that this host never sent goes where every host sends it: to the slice that the hash of the
         // shortest prefix ranks first. Otherwise each home would fill another engine's cache with the same prompt.
-        private SliceBoard.SharedPrefix cached() {
-            return board.longestShared(request)
+        private SliceTracker.SharedPrefix cached() {
+            return board.longestSharedPrefix(request)
                     .filter(shared -> slices.contains(shared.slice()))
                     .orElseGet(this::firstByHash);
         }
 
-        private SliceBoard.SharedPrefix firstByHash() {
+        private SliceTracker.SharedPrefix firstByHash() {
             if (request.prefixes().isEmpty()) {
                 return null;
             }
             long prefix = request.prefixes().get(0);
             SliceId first = least(slices, slice -> -weight(prefix, slice));
-            return new SliceBoard.SharedPrefix(first, PrefixDigests.TOKENS_PER_DIGEST);
+            return new SliceTracker.SharedPrefix(first, PrefixDigests.TOKENS_PER_DIGEST);
         }
 
         private static double weight(long prefix, SliceId slice) {
--- a/org.whinwharf/src/main/java/org/whinwharf/routing/SliceBoard.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/routing/SliceTracker.java
@@ -9,7 +9,7 @@
 import org.whinwharf.wire.message.TierWait;
 
 /** What this host has heard of slices, with the age of each fact, and where it sent which prefixes. */
-public final class SliceBoard {
+public final class SliceTracker {
     /** Wait assumed of a slice of which nothing recent is known, in milliseconds. */
     public static final long UNKNOWN_WAIT_MILLIS = 100;
 
@@ -34,7 +34,7 @@
      * @param status the owner's word
      * @param nowMillis when it arrived
      */
-    public void hear(SliceStatus status, long nowMillis) {
+    public void updateStatus(SliceStatus status, long nowMillis) {
         heard.put(status.getSlice(), new Heard(status, nowMillis));
         takenSinceHeard.remove(status.getSlice());
     }
@@ -44,7 +44,7 @@
      *
      * @param slice where it was queued
      */
-    public void queued(SliceId slice) {
+    public void recordQueued(SliceId slice) {
         takenSinceHeard.merge(slice, 1, Integer::sum);
     }
 
@@ -55,7 +55,7 @@
      * @param waitedMillis how long it has waited
      * @param nowMillis now
      */
-    public void stalled(SliceId slice, long waitedMillis, long nowMillis) {
+    public void recordStall(SliceId slice, long waitedMillis, long nowMillis) {
         stalls.put(slice, new Stall(waitedMillis, nowMillis));
     }
 
@@ -64,7 +64,7 @@
      *
      * @param slice the slice
      */
-    public void granted(SliceId slice) {
+    public void recordGrant(SliceId slice) {
         stalls.remove(slice);
     }
 
@@ -74,7 +74,7 @@
      * @param request the request
      * @param slice where it was sent
      */
-    public void sent(RoutingRequest request, SliceId slice) {
+    public void recordDispatch(RoutingRequest request, SliceId slice) {
         request.prefixes().forEach(prefix -> sliceOfPrefix.put(prefix, slice));
     }
 
@@ -86,7 +86,7 @@
      * @param nowMillis now
      * @return milliseconds; an old fact counts no better than an unknown slice
      */
-    public long expectedWaitMillis(SliceId slice, int tierRank, long nowMillis) {
+    public long estimatedWaitMillis(SliceId slice, int tierRank, long nowMillis) {
         Heard fact = heard.get(slice);
         long seenMillis = stalledMillis(slice, nowMillis);
         if (fact == null) {
@@ -110,7 +110,7 @@
         Heard fact = heard.get(slice);
         boolean known =
                 fact != null && isFresh(fact, nowMillis) && fact.status().getUsableTargets() > 0;
-        return known && expectedWaitMillis(slice, tierRank, nowMillis) < boundMillis;
+        return known && estimatedWaitMillis(slice, tierRank, nowMillis) < boundMillis;
     }
 
     /**
@@ -120,9 +120,9 @@
      * @param nowMillis now
      * @return true when it has a free slot
      */
-    public boolean hasRoom(SliceId slice, long nowMillis) {
+    public boolean hasAvailableSlots(SliceId slice, long nowMillis) {
         Heard fact = heard.get(slice);
-        return fact != null && isFresh(fact, nowMillis) && room(slice) > 0;
+        return fact != null && isFresh(fact, nowMillis) && availableSlots(slice) > 0;
     }
 
     /**
@@ -132,7 +132,7 @@
      * @param nowMillis now
      * @return true when it has none
      */
-    public boolean isBarren(SliceId slice, long nowMillis) {
+    public boolean hasNoUsableTarget(SliceId slice, long nowMillis) {
         Heard fact = heard.get(slice);
         return fact != null && isFresh(fact, nowMillis) && fact.status().getUsableTargets() == 0;
     }
@@ -143,7 +143,7 @@
      * @param slice the slice
      * @return the difference; 0 when nothing is known
      */
-    public int room(SliceId slice) {
+    public int availableSlots(SliceId slice) {
         Heard fact = heard.get(slice);
         if (fact == null) {
             return 0;
@@ -158,7 +158,7 @@
      * @param request the request
      * @return the slice and how many tokens it should have cached
      */
-    public Optional<SharedPrefix> longestShared(RoutingRequest request) {
+    public Optional<SharedPrefix> longestSharedPrefix(RoutingRequest request) {
         for (int i = request.prefixes().size() - 1; i >= 0; i--) {
             SliceId slice = sliceOfPrefix.get(request.prefixes().get(i));
             if (slice != null) {
