--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CommonPlacementLoadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CommonPlacementLoadTest.java
@@ -53,7 +53,7 @@
      * more than 10% with independent fronts.
      */
     @Test
-    void oneCoordinatorSendsNothingToFullEnginesWhereLoneFrontsDo() {
+    void coordinatorAvoidsFullEnginesUnlikeIndependentFronts() {
         assertThat(fullShareWithOneCoordinator(), lessThan(0.01));
         inFlightByEngine.clear();
         ends.clear();
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorRankingTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorRankingTest.java
@@ -17,7 +17,7 @@
 
 class CoordinatorRankingTest {
     @Test
-    void orderInWhichMembersWereHeardChangesNothing() {
+    void rankingIsIndependentOfMemberOrder() {
         List<Member> fleet = fleet(30);
         List<Member> shuffled = new ArrayList<>(fleet);
         Collections.shuffle(shuffled, new Random(7));
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/CoordinatorTest.java
@@ -61,7 +61,7 @@
      * front, has a higher rank. If each front kept its own queue, the slot would go to the front that tries first.
      */
     @Test
-    void oneLineOrdersTheRequestsOfAllProcesses() {
+    void oneQueueOrdersTheRequestsOfAllProcesses() {
         engine("engine", 1);
         coordinator.requestPlacement(placementRequest("front-1", 1, 2, 0), 0);
         coordinator.requestPlacement(placementRequest("front-1", 2, 2, 0), 0);
@@ -77,7 +77,7 @@
      * second, unused slot until the front's next report.
      */
     @Test
-    void sameAskAgainGetsTheSameGrant() {
+    void repeatedPlacementRequestGetsTheSameGrant() {
         engine("one", 4);
         engine("two", 4);
         coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
@@ -92,7 +92,7 @@
      * and fewer requests until it was idle. The front's next report of requests in flight omits the request.
      */
     @Test
-    void listOfWhatIsUnderWayFreesWhatEndedUnheard() {
+    void inFlightReportFreesSlotsOfUnreportedEnds() {
         engine("engine", 1);
         coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
         coordinator.requestPlacement(placementRequest("front-2", 1, 0, 0), 0);
@@ -105,7 +105,7 @@
      * A report that was sent before the grant arrived does not include the granted request and must not free its slot.
      */
     @Test
-    void listThatCrossesAGrantLeavesItsSlotTaken() {
+    void inFlightReportSentBeforeAGrantKeepsItsSlot() {
         engine("engine", 2);
         coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
         coordinator.reportInFlight("front-1", SERVICE, Map.of(), 100);
@@ -114,7 +114,7 @@
 
     /** A front crashes with requests in flight, so that their ends are never reported. */
     @Test
-    void requestsOfASilentProcessAreDropped() {
+    void requestsOfASilentProcessExpire() {
         engine("engine", 1);
         coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
         coordinator.advance(3_000);
@@ -128,7 +128,7 @@
      * the other fronts it would consider every engine idle and fill its slots a second time.
      */
     @Test
-    void newCoordinatorCountsWhatOthersHaveUnderWay() {
+    void newCoordinatorCountsReportedRequestsInFlight() {
         engine("engine", 2);
         RunningRequests.Run run = new RunningRequests.Run("engine", 0);
         coordinator.reportInFlight("front-1", SERVICE, Map.of(7L, run, 8L, run), 0);
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void endOfPatienceRefusesAndGivesTheQuotaBack() {
+    void queueTimeoutRejectsAndRefundsQuota() {
         quotas.update(Fixtures.catalog(1, 1, 1_000), 0);
         engine("engine", 1);
         coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
@@ -157,7 +157,7 @@
      * are rejected at once. A request of a higher tier is served before all of them and is queued.
      */
     @Test
-    void requestThatWouldWaitInVainIsRefusedOnArrival() {
+    void requestThatWouldTimeOutIsRejectedOnArrival() {
         engine("engine", 1);
         long nowMillis = 0;
         for (long id = 1; id <= 5; id++) {
@@ -175,7 +175,7 @@
 
     /** The caller disconnects while its request is queued. The slot must go to a request whose caller is connected. */
     @Test
-    void requestGivenUpLeavesTheLine() {
+    void abandonedRequestLeavesTheQueue() {
         engine("engine", 1);
         coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
         coordinator.requestPlacement(placementRequest("front-1", 2, 0, 0), 0);
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void whatOthersSawOfATargetReachesItsHealthButNotWhatThisProcessSaw() {
+    void onlyOutcomesOfOtherProcessesAreReported() {
         engine("engine", 4);
         coordinator.requestPlacement(placementRequest("front-0", 1, 0, 0), 0);
         coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
@@ -204,7 +204,7 @@
      * slots.
      */
     @Test
-    void engineThatSpeaksWithOthersIsNotEjectedForOneSilence() {
+    void engineThatAnswersOthersIsNotEjectedForSilence() {
         engine("engine", 4);
         coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
         coordinator.requestPlacement(placementRequest("front-2", 1, 0, 0), 0);
@@ -216,7 +216,7 @@
 
     /** An engine hangs: it accepts connections but answers no front. Every further request sent to it is lost. */
     @Test
-    void engineThatIsSilentToAllIsEjectedAtTheFirstWord() {
+    void engineThatIsSilentToAllIsEjectedAtTheFirstReport() {
         engine("engine", 4);
         coordinator.requestPlacement(placementRequest("front-1", 1, 0, 0), 0);
         coordinator.requestPlacement(placementRequest("front-2", 1, 0, 0), 0);
@@ -231,7 +231,7 @@
      * the slow engine in the meantime.
      */
     @Test
-    void longPromptWaitsForAFastEngineAndAShortOneTakesTheSlow() {
+    void longPromptWaitsForAFastEngineWhileAShortOneUsesASlowOne() {
         engine("fast", 1);
         coordinator.requestPlacement(placementRequest("front-1", 1, 1, 0), 0);
         TargetState slow = engine("slow", 4);
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/JoinedRanksTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/JoinedRanksTest.java
@@ -45,7 +45,7 @@
 
     /** A single short note among long ones is ranked like the rest of its route. */
     @Test
-    void ranksAreJudgedByTheirAverageAndNotByOneRequest() {
+    void ranksAreComparedByAverageHoldTime() {
         ranks.assign(rank(0, 0), SUMMARY_MILLIS, 650);
         for (int i = 0; i < 100; i++) {
             ranks.assign(rank(0, 1), NOTE_MILLIS, 250);
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/LongOverloadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/LongOverloadTest.java
@@ -74,19 +74,19 @@
      * be rejected within half of their objective.
      */
     @Test
-    void whoIsRefusedHearsItSoon() {
+    void rejectionsAreFast() {
         assertThat(ninetiethPercentile(waits(fleet.rejectedAtMillis())), lessThanOrEqualTo(OBJECTIVE_MILLIS / 2));
     }
 
     /** Nine in ten placed requests wait at most half of their objective, which leaves time for the first event. */
     @Test
-    void whoIsServedIsServedOnTime() {
+    void placedRequestsAreOnTime() {
         assertThat(ninetiethPercentile(waits(fleet.grantedAtMillis())), lessThanOrEqualTo(OBJECTIVE_MILLIS / 2));
     }
 
     /** A short queue must not run empty: no slot may be idle while requests are rejected. */
     @Test
-    void slotsStayTaken() {
+    void slotsStayInUse() {
         long usedMillis = fleet.grantedAtMillis().entrySet().stream()
                 .filter(granted -> granted.getValue() >= WARM_UP_MILLIS)
                 .mapToLong(granted -> Math.min(holdMillis.get(granted.getKey()), OVERLOAD_MILLIS - granted.getValue()))
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/WaitingLineTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/RequestQueueTest.java
@@ -12,7 +12,7 @@
 import org.whinwharf.traffic.waiting.QueuedRequest;
 import org.whinwharf.traffic.waiting.RequestQueue;
 
-class WaitingLineTest {
+class RequestQueueTest {
     private final List<String> dispatched = new ArrayList<>();
     private final List<String> rejected = new ArrayList<>();
     private int freeSlots;
@@ -99,7 +99,7 @@
      * evicted. Otherwise a higher tier would be shed while a lower one stays queued.
      */
     @Test
-    void overflowPushesOutTheLowestTier() {
+    void overflowEvictsTheLowestTier() {
         RequestQueue queue = new RequestQueue(2);
         queue.add(new TestRequest("school-1", 2, 1_000), 0);
         queue.add(new TestRequest("school-2", 2, 1_000), 0);
@@ -113,7 +113,7 @@
      * queue timeout has lost that second, and its caller retries a second later into the same backlog.
      */
     @Test
-    void standingLineKeepsRequestsForAShortTimeOnly() {
+    void backlogShortensQueueTimeouts() {
         RequestQueue queue = new RequestQueue(10);
         queue.add(new TestRequest("first", 1, 1_000), 0);
         queue.add(new TestRequest("second", 1, 3_800), 900);
@@ -133,7 +133,7 @@
      * rejection for lack of slots: it is sent to a slow engine once it can no longer be on time.
      */
     @Test
-    void requestHeldForABetterTargetIsNotRefusedByAStandingLine() {
+    void requestHeldForABetterTargetIsNotRejectedByABacklog() {
         RequestQueue queue = new RequestQueue(10);
         queue.add(new TestRequest("usual", 1, 1_500), 0);
         queue.add(
@@ -151,7 +151,7 @@
 
     /** The queue has emptied after a short burst, so later requests get their full queue timeout. */
     @Test
-    void lineThatWasWorkedOffStandsNoMore() {
+    void emptiedQueueHasNoBacklog() {
         RequestQueue queue = new RequestQueue(10);
         queue.add(new TestRequest("first", 1, 5_000), 0);
         queue.advance(900);
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void endOfPatienceRefusesOnce() {
+    void queueTimeoutRejectsOnce() {
         RequestQueue queue = new RequestQueue(2);
         queue.add(new TestRequest("school", 2, 100), 0);
         queue.advance(100);
@@ -178,7 +178,7 @@
      * It must neither be lost nor counted twice.
      */
     @Test
-    void requestThatComesBackWhileTheLineAdvancesIsKept() {
+    void requestQueuedAgainDuringAdvanceIsKept() {
         RequestQueue queue = new RequestQueue(10);
         QueuedRequest returning = new TestRequest("returning", 1, 1_000) {
             @Override
@@ -203,7 +203,7 @@
      * free engines and must not wait until the queue timeout of the requests ahead of them.
      */
     @Test
-    void requestsForAFullModelDoNotHoldUpThoseForAnother() {
+    void requestsForAFullModelDoNotBlockOtherModels() {
         RequestQueue queue = new RequestQueue(100);
         for (int i = 0; i < 10; i++) {
             queue.add(new FullModelRequest("rare-" + i), 0);
@@ -216,7 +216,7 @@
 
     /** Hundreds of requests wait for full engines. Trying each at each freed slot would take all processor time. */
     @Test
-    void fewOfManyAlikeAreTriedAtOnce() {
+    void fewOfManySimilarRequestsAreTried() {
         RequestQueue queue = new RequestQueue(1_000);
         int[] attempts = new int[1];
         for (int i = 0; i < 500; i++) {
@@ -240,7 +240,7 @@
      * and must not be skipped because of them.
      */
     @Test
-    void requestsThatWaitForABetterTargetDoNotHoldUpThoseBehindThem() {
+    void heldRequestsDoNotBlockLaterOnes() {
         RequestQueue queue = new RequestQueue(100);
         for (int i = 0; i < 10; i++) {
             queue.add(
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/PlacementTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TargetSelectorTest.java
@@ -19,7 +19,7 @@
 import org.whinwharf.traffic.target.Target;
 import org.whinwharf.traffic.target.TargetState;
 
-class PlacementTest {
+class TargetSelectorTest {
     private static final double COLD_REQUESTS_PER_SECOND = 11;
 
     private final PromptCacheIndex promptCache = new PromptCacheIndex();
@@ -51,7 +51,7 @@
      * waits at the engine, the next free slot would stay empty until its report arrives.
      */
     @Test
-    void highestTierMayWaitAtTheEngineByOne() {
+    void highestTierMayExceedSlotsByOne() {
         List<TargetState> states = states(1);
         states.get(0).updateRemoteLoad(8, 0);
         assertThat(selectedId(0, "orava", states), is(Optional.of("t0")));
@@ -100,7 +100,7 @@
      * member.
      */
     @Test
-    void allProcessesTogetherKeepToWhatAColdTargetBears() {
+    void allProcessesTogetherStayWithinTheCapacityOfAColdTarget() {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < 7; i++) {
             names.add("front-" + i);
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TierOverloadTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/TierOverloadTest.java
@@ -35,7 +35,7 @@
      * seven rejected checks free the capacity for only one note.
      */
     @Test
-    void shortRequestsAreTurnedAwayNoMoreOftenThanTheRankAbove() {
+    void shortRequestsAreRejectedNoMoreOftenThanTheRankAbove() {
         answerTokens = new long[] {378, 288, 27};
         simulateBurst();
         assertThat(placedShare(0), greaterThan(0.99));
@@ -45,7 +45,7 @@
 
     /** The lower a tier, the larger its rejected share. A lower tier must not be served while a higher one is shed. */
     @Test
-    void lowerTiersAreTurnedAwayFirst() {
+    void lowerTiersAreRejectedFirst() {
         simulateBurst();
         assertThat(placedShare(0), greaterThan(0.99));
         assertThat(placedShare(1), greaterThan(placedShare(2)));
