--- a/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/EntryMetrics.java
+++ b/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/EntryMetrics.java
@@ -82,7 +82,7 @@
                 .with(EventField.PREFILL_TOKENS, action.times().prefillTokens())
                 .with(EventField.ANSWER_TOKENS, action.times().answerTokens())
                 .with(EventField.TOTAL_MILLIS, action.times().totalMillis())
-                .with(EventField.COME_BACK_MILLIS, action.outcome().retryAfterMillis())
+                .with(EventField.RETRY_AFTER_MILLIS, action.outcome().retryAfterMillis())
                 .call();
     }
 }
--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/FrontLog.java
@@ -74,7 +74,7 @@
                 .with(EventField.KIND, response.kind().wireName())
                 .with(EventField.RAN, response.kind().ran().wireName())
                 .with(EventField.WAITED_MILLIS, exchange.ageMillis())
-                .with(EventField.COME_BACK_MILLIS, response.retryAfterMillis())
+                .with(EventField.RETRY_AFTER_MILLIS, response.retryAfterMillis())
                 .with(EventField.VERSION, exchange.catalogFreshness().catalogVersion())
                 .with(EventField.AGE_MILLIS, exchange.catalogFreshness().itemsAgeMillis());
         if (exchange.head() != null) {
@@ -95,9 +95,9 @@
             event.with(EventField.QUOTA_LEVEL, details.quotaLevelTokens());
             return;
         }
-        event.with(EventField.AHEAD, details.queuedAhead())
+        event.with(EventField.QUEUED_AHEAD, details.queuedAhead())
                 .with(EventField.PREDICTED_MILLIS, details.estimatedWaitMillis())
-                .with(EventField.STANDING_MILLIS, details.backlogAgeMillis());
+                .with(EventField.BACKLOG_AGE_MILLIS, details.backlogAgeMillis());
     }
 
     static void retried(CallerExchange exchange, Target target, String reason) {
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/EventField.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/EventField.java
@@ -71,7 +71,7 @@
     /** Milliseconds from start to end. */
     TOTAL_MILLIS("totalMillis"),
     /** Milliseconds after which to come back. */
-    COME_BACK_MILLIS("comeBackMillis"),
+    RETRY_AFTER_MILLIS("comeBackMillis"),
     /** Age of what was known, in milliseconds. */
     AGE_MILLIS("ageMillis"),
     /** State before. */
@@ -107,9 +107,9 @@
     /** Attributes of a span. */
     ATTRIBUTES("attributes"),
     /** Requests that went before it in a waiting line. */
-    AHEAD("ahead"),
+    QUEUED_AHEAD("ahead"),
     /** Milliseconds for which a waiting line had not emptied. */
-    STANDING_MILLIS("standingMillis"),
+    BACKLOG_AGE_MILLIS("standingMillis"),
     /** What a request uses of its organisation's quota. */
     QUOTA_TOKENS("quotaTokens"),
     /** What was left of the quota, below 0 a debt. */
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/LogEvent.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/LogEvent.java
@@ -83,7 +83,7 @@
             EventField.FIRST_BYTE_MILLIS,
             EventField.TOTAL_MILLIS,
             EventField.STATUS,
-            EventField.COME_BACK_MILLIS),
+            EventField.RETRY_AFTER_MILLIS),
     /** An answer under way ended without its last event, or a caller left before its answer. */
     ANSWER_CUT(Level.INFO, EventField.REQUEST, EventField.REASON, EventField.ANSWER_TOKENS, EventField.UNREAD_BYTES),
     /** A request was refused before it was admitted. */
@@ -97,11 +97,11 @@
             EventField.RAN,
             EventField.REASON,
             EventField.WAITED_MILLIS,
-            EventField.COME_BACK_MILLIS,
+            EventField.RETRY_AFTER_MILLIS,
             EventField.PEER,
-            EventField.AHEAD,
+            EventField.QUEUED_AHEAD,
             EventField.PREDICTED_MILLIS,
-            EventField.STANDING_MILLIS,
+            EventField.BACKLOG_AGE_MILLIS,
             EventField.QUOTA_TOKENS,
             EventField.QUOTA_LEVEL,
             EventField.VERSION,
@@ -118,7 +118,7 @@
             EventField.SLICE,
             EventField.TIER_RANK,
             EventField.REASON,
-            EventField.COME_BACK_MILLIS),
+            EventField.RETRY_AFTER_MILLIS),
     /** A scheduler owns a slice, or another share of it. */
     SLICE_OWNED(Level.INFO, EventField.SLICE, EventField.SHARE),
     /** A scheduler owns a slice no more. */
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/node/Node.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/node/Node.java
@@ -352,11 +352,11 @@
     private Watch<byte[]> newDocumentWatch() {
         return Watch.<byte[]>builder()
                 .name("document-watch")
-                .reader(configuration.documents(settings.getEnvironment()))
+                .reader(configuration.documentReader(settings.getEnvironment()))
                 .listener(this::documentAnswered)
                 .pacing(newPacing(DOCUMENT_WAIT_MILLIS))
-                .known(() -> snapshot.document().map(DocumentView::generation).orElse(0L))
-                .processes(() -> processes)
+                .knownRevision(() -> snapshot.document().map(DocumentView::generation).orElse(0L))
+                .fleetSize(() -> processes)
                 .ticker(ticker)
                 .call();
     }
@@ -364,11 +364,11 @@
     private Watch<HostList> newListWatch() {
         return Watch.<HostList>builder()
                 .name("list-watch")
-                .reader(hostList.hosts())
+                .reader(hostList.hostListReader())
                 .listener(this::listAnswered)
                 .pacing(newPacing(parts.listWaitMillis))
-                .known(() -> snapshot.revision())
-                .processes(() -> processes)
+                .knownRevision(() -> snapshot.revision())
+                .fleetSize(() -> processes)
                 .ticker(ticker)
                 .call();
     }
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/node/internal/NodeMetrics.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/node/internal/NodeMetrics.java
@@ -68,7 +68,7 @@
      * @param watch the watch
      */
     public void bindWatch(String source, Watch<?> watch) {
-        FunctionCounter.builder("whinwharf.platform.reads", watch, Watch::reads)
+        FunctionCounter.builder("whinwharf.platform.reads", watch, Watch::readCount)
                 .tag("source", source)
                 .description("reads of the platform; a waiting watch counts as one")
                 .register(registry);
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/PlatformClient.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/PlatformClient.java
@@ -57,7 +57,7 @@
      * @param environment name of the environment
      * @return reader of the published form
      */
-    public PlatformReader<byte[]> documents(String environment) {
+    public PlatformReader<byte[]> documentReader(String environment) {
         String path = "/v1/documents/" + environment + "?above=%d&waitMillis=%d";
         return (above, waitMillis) -> read(path.formatted(above, waitMillis), PlatformAnswer.Changed::new);
     }
@@ -67,7 +67,7 @@
      *
      * @return reader of the list
      */
-    public PlatformReader<HostList> hosts() {
+    public PlatformReader<HostList> hostListReader() {
         String path = "/v1/hosts?after=%d&waitMillis=%d";
         return (above, waitMillis) -> read(path.formatted(above, waitMillis), PlatformClient::parse);
     }
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/Watch.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/Watch.java
@@ -27,14 +27,14 @@
     private final IntSupplier processes;
     private final Ticker ticker;
     private final CountDownLatch stopping = new CountDownLatch(1);
-    private final AtomicLong reads = new AtomicLong();
+    private final AtomicLong readCount = new AtomicLong();
 
     private Watch(Builder<T> builder) {
         reader = builder.reader;
         listener = builder.listener;
         pacing = builder.pacing;
-        known = builder.known;
-        processes = builder.processes;
+        known = builder.knownRevision;
+        processes = builder.fleetSize;
         ticker = builder.ticker;
         thread = new Thread(this::run, builder.name);
         thread.setDaemon(true);
@@ -71,8 +71,8 @@
      *
      * @return count since the start
      */
-    public long reads() {
-        return reads.get();
+    public long readCount() {
+        return readCount.get();
     }
 
     private void run() {
@@ -88,10 +88,10 @@
 
     private long readOnce() {
         long askedAtMillis = ticker.nowMillis();
-        reads.incrementAndGet();
+        readCount.incrementAndGet();
         PlatformAnswer<T> answer = read();
         if (stopping.getCount() > 0) {
-            listener.answered(answer, askedAtMillis);
+            listener.readCompleted(answer, askedAtMillis);
         }
         return pacing.nextMillis(answer, ticker.nowMillis() - askedAtMillis, processes.getAsInt());
     }
@@ -114,8 +114,8 @@
         private PlatformReader<T> reader;
         private WatchListener<T> listener;
         private Pacing pacing;
-        private LongSupplier known = () -> 0;
-        private IntSupplier processes = () -> 0;
+        private LongSupplier knownRevision = () -> 0;
+        private IntSupplier fleetSize = () -> 0;
         private Ticker ticker = Ticker.system();
 
         private Builder() {}
@@ -170,8 +170,8 @@
          * @param known called before each read
          * @return this builder
          */
-        public Builder<T> known(LongSupplier known) {
-            this.known = known;
+        public Builder<T> knownRevision(LongSupplier known) {
+            this.knownRevision = known;
             return this;
         }
 
@@ -181,8 +181,8 @@
          * @param processes number of processes; 0 while not known
          * @return this builder
          */
-        public Builder<T> processes(IntSupplier processes) {
-            this.processes = processes;
+        public Builder<T> fleetSize(IntSupplier processes) {
+            this.fleetSize = processes;
             return this;
         }
 
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/WatchListener.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/WatchListener.java
@@ -13,5 +13,5 @@
      * @param answer the answer
      * @param askedAtMillis monotonic clock when it was asked for: what the answer says is at most this old
      */
-    void answered(PlatformAnswer<T> answer, long askedAtMillis);
+    void readCompleted(PlatformAnswer<T> answer, long askedAtMillis);
 }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLog.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLog.java
@@ -25,7 +25,7 @@
                     .with(EventField.PEER, home.host())
                     .with(EventField.SLICE, name(refusal.getSlice()))
                     .with(EventField.REASON, refusal.getReason().name())
-                    .with(EventField.COME_BACK_MILLIS, refusal.getComeBackMillis())
+                    .with(EventField.RETRY_AFTER_MILLIS, refusal.getComeBackMillis())
                     .call();
         }
     }
