--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/LogRingTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/AsyncLogWriterTest.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class LogRingTest {
+class AsyncLogWriterTest {
     private static final int LINES = 10_000;
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     /**
      * Whoever reads the log stops reading, and the pipe is full. The thread that serves requests goes on writing lines
      * and must never wait; how many lines were lost is written once the reader is back.
      */
     @Test
-    void fullPipeHoldsUpNobodyAndLostLinesAreCounted() throws Exception {
+    void fullPipeBlocksNoThreadAndDroppedLinesAreCounted() throws Exception {
         CountDownLatch readerBack = new CountDownLatch(1);
         ByteArrayOutputStream read = new ByteArrayOutputStream();
-        LogRing ring = new LogRing(new PrintStream(new StuckPipe(readerBack, read)));
+        AsyncLogWriter ring = new AsyncLogWriter(new PrintStream(new BlockedStream(readerBack, read)));
         ring.start();
         for (int i = 0; i < LINES; i++) {
             ring.append("line\n");
@@ -38,10 +38,10 @@
      * stay in the ring.
      */
     @Test
-    void lastLinesAreWrittenAtTheEnd() throws Exception {
+    void stopWritesRemainingLines() throws Exception {
         for (int i = 0; i < 50; i++) {
             ByteArrayOutputStream read = new ByteArrayOutputStream();
-            LogRing ring = new LogRing(new PrintStream(read));
+            AsyncLogWriter ring = new AsyncLogWriter(new PrintStream(read));
             ring.start();
             ring.append("drained\n");
             ring.stop();
@@ -50,7 +50,7 @@
     }
 
     private static void awaitText(ByteArrayOutputStream read, String expected) throws InterruptedException {
-        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+        long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!text(read).contains(expected)) {
             assertThat("in time", System.nanoTime() < endNanos, is(true));
             Thread.sleep(1);
@@ -61,11 +61,11 @@
         return bytes.toString(StandardCharsets.UTF_8);
     }
 
-    private static final class StuckPipe extends OutputStream {
+    private static final class BlockedStream extends OutputStream {
         private final CountDownLatch readerBack;
         private final OutputStream read;
 
-        StuckPipe(CountDownLatch readerBack, OutputStream read) {
+        BlockedStream(CountDownLatch readerBack, OutputStream read) {
             this.readerBack = readerBack;
             this.read = read;
         }
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformDialectTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformDialectTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void requestIsReadIntoItsParts() throws BadRequestException {
+    void requestHeadIsParsed() throws BadRequestException {
         RequestHead head = dialect.readRequest(request());
         assertThat(head.attemptId(), is("9c41"));
         assertThat(head.path(), is("/a/b"));
@@ -64,7 +64,7 @@
      * target would believe another organisation's name, keep memory for the caller, or run the request anywhere.
      */
     @Test
-    void targetHearsTheSystemsWordsAndNotTheCallers() {
+    void headersReservedForTheSystemAreNotTakenFromTheCaller() {
         HttpRequest request = request();
         request.headers()
                 .set("X-Tenant", "forged")
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void answerSaysWhetherItRan() {
+    void responseTellsWhetherTheRequestWasExecuted() {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
         assertThat(dialect.readResponse(response).notExecuted(), is(false));
         response.headers().set("X-Not-Executed", "1").set("Keep-Alive", "timeout=4, max=9");
@@ -109,7 +109,7 @@
 
     /** The address of a target that is gone belongs to another one, which is healthy. */
     @Test
-    void healthOfAnotherTargetIsNotHealth() {
+    void healthyResponseOfAnotherTargetIsRejected() {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         response.headers().set("X-Instance-Id", "i-2").set("X-Cold-Ms", "1500");
         assertThat(dialect.readHealth(response, "i-1"), is(OptionalLong.empty()));
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/NamesTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformNamesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The platform's names stand in its adapter and in no other program source. */
-class NamesTest {
+class PlatformNamesTest {
     private static final Path ROOT = Path.of("..");
     private static final Pattern NAMES = Pattern.compile(
             "X-Attempt-Id|X-Deadline-Ms|X-Api-Key|X-Token-Usage|X-Prompt-Prefix|X-Tenant|X-Expect-Instance"
@@ -22,25 +22,25 @@
                     + "|WHINWHARF_NODE_FILE");
 
     @Test
-    void noOtherModuleKnowsThem() throws IOException {
+    void noOtherModuleContainsPlatformNames() throws IOException {
         try (Stream<Path> modules = Files.list(ROOT)) {
             List<String> found = modules.filter(
                             module -> module.getFileName().toString().startsWith("org.whinwharf")
                                     && !module.getFileName().toString().endsWith(".test"))
-                    .flatMap(NamesTest::offending)
+                    .flatMap(PlatformNamesTest::filesWithPlatformNames)
                     .toList();
             assertThat(found, empty());
         }
     }
 
-    private static Stream<String> offending(Path module) {
+    private static Stream<String> filesWithPlatformNames(Path module) {
         Path sources = module.resolve("src/main/java");
         if (!Files.isDirectory(sources)) {
             return Stream.empty();
         }
         try (Stream<Path> files = Files.walk(sources)) {
             return files
-                    .filter(file -> file.toString().endsWith(".java") && names(file))
+                    .filter(file -> file.toString().endsWith(".java") && containsPlatformName(file))
                     .map(Path::toString)
                     .toList()
                     .stream();
@@ -49,7 +49,7 @@
         }
     }
 
-    private static boolean names(Path file) {
+    private static boolean containsPlatformName(Path file) {
         try {
             return NAMES.matcher(Files.readString(file)).find();
         } catch (IOException e) {
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlainSettingsTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/SettingsPrecheckTest.java
@@ -16,8 +16,8 @@
 import org.whinwharf.schema.SettingsFile;
 import org.whinwharf.wire.schema.FrontFile;
 
-class PlainSettingsTest {
-    private static final String SOUND = """
+class SettingsPrecheckTest {
+    private static final String VALID = """
             // a comment, as in the template
             {"host": "h", "address": "10.0.0.1", "dataCentre": "z", "callerAddress": "10.0.0.1:1",
              "readyAddress": "10.0.0.1:2", "directoryAddress": "10.0.0.1:3", "peerPort": 4,
@@ -26,7 +26,7 @@
              "metricsPort": 6, "cores": 2, "coreShare": 0.75}
             """;
     /** Values that a field may wrongly have. */
-    private static final List<String> VALUES = List.of(
+    private static final List<String> REPLACEMENT_VALUES = List.of(
             "null", "\"\"", "\" \"", "\"x\"", "-1", "0", "0.5", "70000", "1e9", "true", "\"true\"", "[]", "[1]", "{}");
 
     @TempDir
@@ -34,51 +34,51 @@
 
     /** Guards against starts that pay for the schema although the platform's file is as it should be. */
     @Test
-    void fileOfThePlatformNeedsNoSchema() {
-        assertThat(PlainSettings.sound(bytes(SOUND)), is(true));
+    void validFilePassesWithoutTheSchema() {
+        assertThat(SettingsPrecheck.passes(bytes(VALID)), is(true));
     }
 
     /** Guards against a faulty file that is taken for sound, and in force, although the schema refuses it. */
     @Test
-    void whatIsPlainlySoundIsSoundForTheSchemaToo() throws IOException {
+    void everyFileThatPassesIsValidByTheSchema() throws IOException {
         for (String text : variants()) {
-            if (PlainSettings.sound(bytes(text))) {
-                assertThat(text, checked(text), is(new ReadResult.Valid<>(FrontFileReader.read(bytes(text)))));
+            if (SettingsPrecheck.passes(bytes(text))) {
+                assertThat(text, validateBySchema(text), is(new ReadResult.Valid<>(FrontFileReader.read(bytes(text)))));
             }
         }
     }
 
     /** Guards against a name that stands twice: the later value would silently win. */
     @Test
-    void nameThatStandsTwiceIsNoSoundFile() throws IOException {
-        String twice = SOUND.replace("\"cores\": 2", "\"cores\": 2, \"cores\": 3");
-        assertThat(PlainSettings.sound(bytes(twice)), is(false));
-        assertThat(checked(twice), instanceOf(ReadResult.Invalid.class));
+    void fileWithADuplicateNameDoesNotPass() throws IOException {
+        String twice = VALID.replace("\"cores\": 2", "\"cores\": 2, \"cores\": 3");
+        assertThat(SettingsPrecheck.passes(bytes(twice)), is(false));
+        assertThat(validateBySchema(twice), instanceOf(ReadResult.Invalid.class));
     }
 
     private static List<String> variants() {
         List<String> variants = new ArrayList<>(List.of(
-                SOUND,
-                SOUND + "{}",
-                SOUND.replace("{", "["),
-                SOUND.replace("\"host\": \"h\", ", ""),
-                SOUND.replace("\"cores\": 2, ", ""),
-                SOUND.replace("\"cores\"", "\"core\""),
-                SOUND.replace("10.0.0.1:1\"", "10.0.0.1:123456\""),
-                SOUND.replace("10.0.0.1:1\"", "10.0.0.1\""),
-                SOUND.replace("\"10.0.0.1\"", "\"10.0.0.256\"")));
-        for (String field : SOUND.split("[,{]\\s*\"")) {
+                VALID,
+                VALID + "{}",
+                VALID.replace("{", "["),
+                VALID.replace("\"host\": \"h\", ", ""),
+                VALID.replace("\"cores\": 2, ", ""),
+                VALID.replace("\"cores\"", "\"core\""),
+                VALID.replace("10.0.0.1:1\"", "10.0.0.1:123456\""),
+                VALID.replace("10.0.0.1:1\"", "10.0.0.1\""),
+                VALID.replace("\"10.0.0.1\"", "\"10.0.0.256\"")));
+        for (String field : VALID.split("[,{]\\s*\"")) {
             int colon = field.indexOf("\": ");
             if (colon > 0) {
                 String name = field.substring(0, colon);
-                VALUES.forEach(value -> variants.add(
-                        SOUND.replaceFirst("\"" + name + "\": (\\[[^]]*]|[^,}]*)", "\"" + name + "\": " + value)));
+                REPLACEMENT_VALUES.forEach(value -> variants.add(
+                        VALID.replaceFirst("\"" + name + "\": (\\[[^]]*]|[^,}]*)", "\"" + name + "\": " + value)));
             }
         }
         return variants;
     }
 
-    private ReadResult<FrontFile> checked(String text) throws IOException {
+    private ReadResult<FrontFile> validateBySchema(String text) throws IOException {
         Path file = Files.writeString(folder.resolve("settings.json"), text);
         return SettingsFile.load(file, FrontFile.getDefaultInstance());
     }
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreClientTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreClientTest.java
@@ -22,13 +22,13 @@
 
 class StoreClientTest {
     private static final String IP = "127.0.0.1";
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
     /** The smallest link in use, 7 Mbit/s. */
     private static final int LINK_BYTES_PER_SECOND = 875_000;
     /** Largest value that may be published. */
-    private static final int MOST_VALUE_BYTES = 1_048_576;
+    private static final int MAX_VALUE_BYTES = 1_048_576;
 
-    private static final int PIECE_BYTES = 8_192;
+    private static final int CHUNK_BYTES = 8_192;
 
     private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
@@ -41,25 +41,25 @@
     @Test
     void largePageOverASlowLinkIsRead() throws Exception {
         try (SlowStore store = new SlowStore(Integer.MAX_VALUE)) {
-            assertThat(store.range().get(PATIENCE_SECONDS, TimeUnit.SECONDS), is("1 items of " + MOST_VALUE_BYTES));
+            assertThat(store.range().get(TIMEOUT_SECONDS, TimeUnit.SECONDS), is("1 items of " + MAX_VALUE_BYTES));
         }
     }
 
     /** Guards against waiting for ever for the rest of an answer whose connection hangs in the middle. */
     @Test
-    void answerThatStopsComingIsGivenUp() throws Exception {
-        try (SlowStore store = new SlowStore(MOST_VALUE_BYTES / 2)) {
-            assertThat(store.range().get(PATIENCE_SECONDS, TimeUnit.SECONDS), is("failed: timeout"));
+    void responseThatStallsTimesOut() throws Exception {
+        try (SlowStore store = new SlowStore(MAX_VALUE_BYTES / 2)) {
+            assertThat(store.range().get(TIMEOUT_SECONDS, TimeUnit.SECONDS), is("failed: timeout"));
         }
     }
 
     /** A store that answers one call at the rate of a small link, and no more than so many bytes of it. */
     private final class SlowStore implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName(IP));
-        private final int mostBytes;
+        private final int maxBytes;
 
         SlowStore(int mostBytes) throws IOException {
-            this.mostBytes = mostBytes;
+            this.maxBytes = mostBytes;
             Thread thread = new Thread(this::serve, "slow store");
             thread.setDaemon(true);
             thread.start();
@@ -68,9 +68,9 @@
         CompletableFuture<String> range() {
             CompletableFuture<String> outcome = new CompletableFuture<>();
             StoreClient client = new StoreClient(loop, IP + ":" + server.getLocalPort());
-            loop.execute(() -> client.range("op/", "", new StoreClient.Taker() {
+            loop.execute(() -> client.range("op/", "", new StoreClient.Callback() {
                 @Override
-                public void read(StoreClient.Page page) {
+                public void succeeded(StoreClient.Page page) {
                     int bytes = page.values().stream()
                             .mapToInt(value -> value.value().length)
                             .sum();
@@ -86,7 +86,7 @@
         }
 
         private void serve() {
-            String value = Base64.getEncoder().encodeToString(new byte[MOST_VALUE_BYTES]);
+            String value = Base64.getEncoder().encodeToString(new byte[MAX_VALUE_BYTES]);
             byte[] body = ("{\"items\":[{\"key\":\"op/config\",\"value\":\"" + value
                             + "\",\"revision\":5,\"created-at\":5,\"lease\":0}],\"truncated\":false,\"store-revision\":5}")
                     .getBytes(StandardCharsets.US_ASCII);
@@ -100,11 +100,11 @@
                 OutputStream out = socket.getOutputStream();
                 out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
-                for (int from = 0; from < Math.min(mostBytes, body.length); from += PIECE_BYTES) {
-                    out.write(body, from, Math.min(PIECE_BYTES, body.length - from));
-                    TimeUnit.MICROSECONDS.sleep(1_000_000L * PIECE_BYTES / LINK_BYTES_PER_SECOND);
+                for (int from = 0; from < Math.min(maxBytes, body.length); from += CHUNK_BYTES) {
+                    out.write(body, from, Math.min(CHUNK_BYTES, body.length - from));
+                    TimeUnit.MICROSECONDS.sleep(1_000_000L * CHUNK_BYTES / LINK_BYTES_PER_SECOND);
                 }
-                TimeUnit.SECONDS.sleep(PATIENCE_SECONDS);
+                TimeUnit.SECONDS.sleep(TIMEOUT_SECONDS);
             } catch (IOException | InterruptedException e) {
                 // The client closed its end, or the test is over.
                 return;
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreDecoderTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreDecoderTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void configurationIsReadIntoACatalog() throws IOException {
+    void configurationIsDecodedIntoACatalog() throws IOException {
         Catalog catalog = StoreDecoder.catalog(json(CONFIG));
         Route route = catalog.route("h.example", "/a/x").orElseThrow();
         assertThat(catalog.version(), is(7L));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void entryOfATargetIsRead() {
+    void entryOfATargetIsDecoded() {
         Target target = StoreDecoder.target(
                         "i-1",
                         json("{'service':'s','address':'10.128.0.9:8080','zone':'borborema','version':'v1','slots':7,"
@@ -82,7 +82,7 @@
                 "{'service':5,'address':'10.0.0.1:1','zone':'z','slots':7,'state':'ready'}",
                 "{'service':'s','address':'10.0.0.1:1','slots':7,'state':'ready'}"
             })
-    void entryOfAnotherWriterNamesNoTarget(String text) {
+    void malformedEntryYieldsNoTarget(String text) {
         assertThat(StoreDecoder.target("i-1", json(text)).isPresent(), is(false));
     }
 }
--- a/org.whinwharf.runtime.test/src/test/java/org/whinwharf/runtime/platform/PacingTest.java
+++ b/org.whinwharf.runtime.test/src/test/java/org/whinwharf/runtime/platform/PacingTest.java
@@ -23,13 +23,13 @@
     // instant, the platform would refuse most of them and the fleet would stay out of service for longer.
     @Test
     void restartOfTheWholeFleetStaysWithinThePlatformsRate() {
-        int[] reads = run(DOCUMENT_WAIT_MILLIS, 0, at -> false);
-        assertThat(most(reads), lessThan(PLATFORM_READS_PER_SECOND / 2));
+        int[] reads = simulate(DOCUMENT_WAIT_MILLIS, 0, at -> false);
+        assertThat(max(reads), lessThan(PLATFORM_READS_PER_SECOND / 2));
     }
 
     @Test
     void fleetAtRestReadsLittle() {
-        int[] reads = run(DOCUMENT_WAIT_MILLIS, PROCESSES, at -> false);
+        int[] reads = simulate(DOCUMENT_WAIT_MILLIS, PROCESSES, at -> false);
         assertThat(reads[SECONDS - 1], lessThan(PLATFORM_READS_PER_SECOND / 8));
         assertThat(reads[SECONDS - 1], greaterThan(0));
     }
@@ -37,13 +37,13 @@
     // Operators publish twice within a second. Each time every waiting watch is answered and asks again.
     @Test
     void twoChangesInASecondStayWithinThePlatformsRate() {
-        int[] reads = run(DOCUMENT_WAIT_MILLIS, PROCESSES, at -> at == 30_000 || at == 30_700);
-        assertThat(most(reads), lessThan(PLATFORM_READS_PER_SECOND / 2));
+        int[] reads = simulate(DOCUMENT_WAIT_MILLIS, PROCESSES, at -> at == 30_000 || at == 30_700);
+        assertThat(max(reads), lessThan(PLATFORM_READS_PER_SECOND / 2));
     }
 
     @Test
     void stewardsThatNeedAFreshListStayWithinThePlatformsRate() {
-        int[] reads = run(STEWARD_WAIT_MILLIS, PROCESSES, at -> false);
+        int[] reads = simulate(STEWARD_WAIT_MILLIS, PROCESSES, at -> false);
         assertThat(reads[SECONDS - 1] / 3, lessThan(PLATFORM_READS_PER_SECOND / 4));
     }
 
@@ -52,32 +52,33 @@
         Pacing pacing = new Pacing(DOCUMENT_WAIT_MILLIS, START_SPREAD_MILLIS, RandomSource.SPLIT_MIX_64.create(1));
         long totalMillis = 0;
         for (int i = 0; i < 1_000; i++) {
-            totalMillis += pacing.nextMillis(new PlatformAnswer.Failed<>("down"), 0, PROCESSES);
+            totalMillis += pacing.nextDelayMillis(new PlatformAnswer.Failed<>("down"), 0, PROCESSES);
         }
         long readsPerSecond = PROCESSES * 1_000L * 1_000 / totalMillis;
         assertThat(readsPerSecond, lessThan(PLATFORM_READS_PER_SECOND / 2L));
     }
 
     /** Returns the reads of each second; {@code changes} tells at which millisecond something is published. */
-    private static int[] run(long waitMillis, int knownAtStart, LongFunction<Boolean> changes) {
+    private static int[] simulate(long waitMillis, int knownAtStart, LongFunction<Boolean> changes) {
         int[] reads = new int[SECONDS];
-        PriorityQueue<Process> due = new PriorityQueue<>(Comparator.comparingLong(process -> process.askMillis));
+        PriorityQueue<SimulatedProcess> due =
+                new PriorityQueue<>(Comparator.comparingLong(process -> process.nextReadAtMillis));
         for (int i = 0; i < PROCESSES; i++) {
-            Process process = new Process();
+            SimulatedProcess process = new SimulatedProcess();
             process.pacing = new Pacing(waitMillis, START_SPREAD_MILLIS, RandomSource.SPLIT_MIX_64.create(i));
-            process.askMillis = process.pacing.startMillis(knownAtStart);
+            process.nextReadAtMillis = process.pacing.initialDelayMillis(knownAtStart);
             due.add(process);
         }
-        while (due.peek().askMillis < SECONDS * 1_000L) {
-            Process process = due.poll();
-            reads[(int) (process.askMillis / 1_000)]++;
-            process.answer(changes);
+        while (due.peek().nextReadAtMillis < SECONDS * 1_000L) {
+            SimulatedProcess process = due.poll();
+            reads[(int) (process.nextReadAtMillis / 1_000)]++;
+            process.completeRead(changes);
             due.add(process);
         }
         return reads;
     }
 
-    private static int most(int[] reads) {
+    private static int max(int[] reads) {
         int most = 0;
         for (int each : reads) {
             most = Math.max(most, each);
@@ -85,23 +86,23 @@
         return most;
     }
 
-    private static final class Process {
+    private static final class SimulatedProcess {
         private Pacing pacing;
-        private long askMillis;
-        private boolean first = true;
+        private long nextReadAtMillis;
+        private boolean firstRead = true;
 
-        void answer(LongFunction<Boolean> changes) {
-            long holdMillis = first ? 0 : pacing.holdMillis();
-            boolean changed = first;
-            first = false;
+        void completeRead(LongFunction<Boolean> changes) {
+            long holdMillis = firstRead ? 0 : pacing.longPollMillis();
+            boolean changed = firstRead;
+            firstRead = false;
             long tookMillis = 0;
             while (tookMillis < holdMillis && !changed) {
                 tookMillis++;
-                changed = changes.apply(askMillis + tookMillis);
+                changed = changes.apply(nextReadAtMillis + tookMillis);
             }
             PlatformAnswer<String> answer =
                     changed ? new PlatformAnswer.Changed<>("") : new PlatformAnswer.Unchanged<>();
-            askMillis += tookMillis + pacing.nextMillis(answer, tookMillis, PROCESSES);
+            nextReadAtMillis += tookMillis + pacing.nextDelayMillis(answer, tookMillis, PROCESSES);
         }
     }
 }
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/node/Node.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/node/Node.java
@@ -355,7 +355,8 @@
                 .reader(configuration.documentReader(settings.getEnvironment()))
                 .listener(this::documentAnswered)
                 .pacing(newPacing(DOCUMENT_WAIT_MILLIS))
-                .knownRevision(() -> snapshot.document().map(DocumentView::generation).orElse(0L))
+                .knownRevision(
+                        () -> snapshot.document().map(DocumentView::generation).orElse(0L))
                 .fleetSize(() -> processes)
                 .ticker(ticker)
                 .call();
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/Pacing.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/Pacing.java
@@ -15,10 +15,10 @@
     /** Reads a second that the whole fleet aims at when all its processes are due at once. */
     public static final int FLEET_READS_PER_SECOND = 400;
 
-    private static final long LEAST_SPREAD_MILLIS = 50;
-    private static final long LEAST_PERIOD_MILLIS = 250;
-    private static final long FIRST_RETRY_MILLIS = 500;
-    private static final long MAX_RETRY_MILLIS = 5_000;
+    private static final long MIN_SPREAD_MILLIS = 50;
+    private static final long MIN_RETRY_DELAY_MILLIS = 250;
+    private static final long INITIAL_BACKOFF_MILLIS = 500;
+    private static final long MAX_BACKOFF_MILLIS = 5_000;
     private static final int MAX_DOUBLINGS = 10;
 
     private final long waitMillis;
@@ -45,8 +45,8 @@
      * @param processes processes of the fleet; 0 when not known yet
      * @return milliseconds
      */
-    public long startMillis(int processes) {
-        return upTo(processes == 0 ? startSpreadMillis : spreadMillis(processes));
+    public long initialDelayMillis(int processes) {
+        return randomUpTo(processes == 0 ? startSpreadMillis : spreadMillis(processes));
     }
 
     /**
@@ -54,8 +54,8 @@
      *
      * @return milliseconds, between half of the longest wait and the whole
      */
-    public long holdMillis() {
-        return waitMillis / 2 + upTo(waitMillis / 2);
+    public long longPollMillis() {
+        return waitMillis / 2 + randomUpTo(waitMillis / 2);
     }
 
     /**
@@ -66,30 +66,30 @@
      * @param processes processes of the fleet; 0 when not known yet
      * @return milliseconds
      */
-    public long nextMillis(PlatformAnswer<?> answer, long tookMillis, int processes) {
+    public long nextDelayMillis(PlatformAnswer<?> answer, long tookMillis, int processes) {
         if (answer instanceof PlatformAnswer.Failed<?>) {
-            return retryMillis(processes);
+            return retryDelayMillis(processes);
         }
         failures = 0;
         if (answer instanceof PlatformAnswer.Changed<?>) {
-            return LEAST_SPREAD_MILLIS + upTo(spreadMillis(processes));
+            return MIN_SPREAD_MILLIS + randomUpTo(spreadMillis(processes));
         }
         // A platform that does not hold the answer back must not be asked in a tight loop.
         return Math.max(0, waitMillis / 2 - tookMillis);
     }
 
-    private long retryMillis(int processes) {
-        long doubled = FIRST_RETRY_MILLIS << Math.min(failures, MAX_DOUBLINGS);
+    private long retryDelayMillis(int processes) {
+        long doubled = INITIAL_BACKOFF_MILLIS << Math.min(failures, MAX_DOUBLINGS);
         failures++;
-        long ceilingMillis = Math.max(Math.min(doubled, MAX_RETRY_MILLIS), spreadMillis(processes));
-        return LEAST_PERIOD_MILLIS + upTo(ceilingMillis);
+        long ceilingMillis = Math.max(Math.min(doubled, MAX_BACKOFF_MILLIS), spreadMillis(processes));
+        return MIN_RETRY_DELAY_MILLIS + randomUpTo(ceilingMillis);
     }
 
     private static long spreadMillis(int processes) {
-        return Math.max(LEAST_SPREAD_MILLIS, 1_000L * processes / FLEET_READS_PER_SECOND);
+        return Math.max(MIN_SPREAD_MILLIS, 1_000L * processes / FLEET_READS_PER_SECOND);
     }
 
-    private long upTo(long millis) {
+    private long randomUpTo(long millis) {
         return millis <= 0 ? 0 : random.nextLong(millis + 1);
     }
 }
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/PlatformClient.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/PlatformClient.java
@@ -20,10 +20,10 @@
 
 /** HTTP client of one of the platform's services. */
 public final class PlatformClient implements Service {
-    private static final long LONGEST_HOLD_MILLIS = 30_000;
-    private static final long ANSWER_MILLIS = 5_000;
-    private static final long CONNECT_MILLIS = 2_000;
-    private static final int MAX_ANSWER_BYTES = 8 << 20;
+    private static final long MAX_LONG_POLL_MILLIS = 30_000;
+    private static final long RESPONSE_MARGIN_MILLIS = 5_000;
+    private static final long CONNECT_TIMEOUT_MILLIS = 2_000;
+    private static final int MAX_RESPONSE_BYTES = 8 << 20;
 
     private final HttpClient client;
 
@@ -34,9 +34,9 @@
      */
     public PlatformClient(String baseUrl) {
         DefaultHttpClientConfiguration configuration = new DefaultHttpClientConfiguration();
-        configuration.setReadTimeout(Duration.ofMillis(LONGEST_HOLD_MILLIS + ANSWER_MILLIS));
-        configuration.setConnectTimeout(Duration.ofMillis(CONNECT_MILLIS));
-        configuration.setMaxContentLength(MAX_ANSWER_BYTES);
+        configuration.setReadTimeout(Duration.ofMillis(MAX_LONG_POLL_MILLIS + RESPONSE_MARGIN_MILLIS));
+        configuration.setConnectTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MILLIS));
+        configuration.setMaxContentLength(MAX_RESPONSE_BYTES);
         configuration.setNumOfThreads(1);
         client = HttpClient.create(url(baseUrl), configuration);
     }
@@ -69,7 +69,7 @@
      */
     public PlatformReader<HostList> hostListReader() {
         String path = "/v1/hosts?after=%d&waitMillis=%d";
-        return (above, waitMillis) -> read(path.formatted(above, waitMillis), PlatformClient::parse);
+        return (above, waitMillis) -> read(path.formatted(above, waitMillis), PlatformClient::parseHostList);
     }
 
     private <T> PlatformAnswer<T> read(String path, Function<byte[], PlatformAnswer<T>> parser) {
@@ -87,7 +87,7 @@
         }
     }
 
-    private static PlatformAnswer<HostList> parse(byte[] json) {
+    private static PlatformAnswer<HostList> parseHostList(byte[] json) {
         HostList.Builder list = HostList.newBuilder();
         try {
             JsonFormat.parser().ignoringUnknownFields().merge(new String(json, StandardCharsets.UTF_8), list);
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/Watch.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/Watch.java
@@ -17,14 +17,14 @@
  */
 public final class Watch<T> implements Service {
     private static final Logger LOG = LogManager.getLogger(Watch.class);
-    private static final long STOP_MILLIS = 500;
+    private static final long STOP_TIMEOUT_MILLIS = 500;
 
     private final Thread thread;
     private final PlatformReader<T> reader;
     private final WatchListener<T> listener;
     private final Pacing pacing;
-    private final LongSupplier known;
-    private final IntSupplier processes;
+    private final LongSupplier knownRevision;
+    private final IntSupplier fleetSize;
     private final Ticker ticker;
     private final CountDownLatch stopping = new CountDownLatch(1);
     private final AtomicLong readCount = new AtomicLong();
@@ -33,8 +33,8 @@
         reader = builder.reader;
         listener = builder.listener;
         pacing = builder.pacing;
-        known = builder.knownRevision;
-        processes = builder.fleetSize;
+        knownRevision = builder.knownRevision;
+        fleetSize = builder.fleetSize;
         ticker = builder.ticker;
         thread = new Thread(this::run, builder.name);
         thread.setDaemon(true);
@@ -60,7 +60,7 @@
         stopping.countDown();
         thread.interrupt();
         try {
-            thread.join(STOP_MILLIS);
+            thread.join(STOP_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -77,7 +77,7 @@
 
     private void run() {
         try {
-            boolean stopped = stopping.await(pacing.startMillis(processes.getAsInt()), TimeUnit.MILLISECONDS);
+            boolean stopped = stopping.await(pacing.initialDelayMillis(fleetSize.getAsInt()), TimeUnit.MILLISECONDS);
             while (!stopped) {
                 stopped = stopping.await(readOnce(), TimeUnit.MILLISECONDS);
             }
@@ -93,12 +93,12 @@
         if (stopping.getCount() > 0) {
             listener.readCompleted(answer, askedAtMillis);
         }
-        return pacing.nextMillis(answer, ticker.nowMillis() - askedAtMillis, processes.getAsInt());
+        return pacing.nextDelayMillis(answer, ticker.nowMillis() - askedAtMillis, fleetSize.getAsInt());
     }
 
     private PlatformAnswer<T> read() {
         try {
-            return reader.read(known.getAsLong(), pacing.holdMillis());
+            return reader.read(knownRevision.getAsLong(), pacing.longPollMillis());
         } catch (RuntimeException e) {
             return new PlatformAnswer.Failed<>(String.valueOf(e.getMessage()));
         }
