--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/AsyncLogWriterTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/AsyncLogWriterTest.java
@@ -16,35 +16,35 @@
     private static final long TIMEOUT_SECONDS = 20;
 
     /**
-     * Whoever reads the log stops reading, and the pipe is full. The thread that serves requests goes on writing lines
-     * and must never wait; how many lines were lost is written once the reader is back.
+     * The reader of the log stops reading and the pipe is full. The thread that serves requests continues to log and
+     * must not block; the number of dropped lines is logged once the reader continues.
      */
     @Test
     void fullPipeBlocksNoThreadAndDroppedLinesAreCounted() throws Exception {
-        CountDownLatch readerBack = new CountDownLatch(1);
+        CountDownLatch readerContinues = new CountDownLatch(1);
         ByteArrayOutputStream read = new ByteArrayOutputStream();
-        AsyncLogWriter ring = new AsyncLogWriter(new PrintStream(new BlockedStream(readerBack, read)));
-        ring.start();
+        AsyncLogWriter writer = new AsyncLogWriter(new PrintStream(new BlockedStream(readerContinues, read)));
+        writer.start();
         for (int i = 0; i < LINES; i++) {
-            ring.append("line\n");
+            writer.append("line\n");
         }
-        readerBack.countDown();
+        readerContinues.countDown();
         awaitText(read, "log-lines-dropped");
-        ring.stop();
+        writer.stop();
     }
 
     /**
-     * The process ends in order, perhaps before the log's thread has run at all. Its last lines say why, and must not
-     * stay in the ring.
+     * The process stops in an orderly way, possibly before the thread of the writer has run at all. The last lines
+     * state the reason and must not be lost in the buffer.
      */
     @Test
     void stopWritesRemainingLines() throws Exception {
         for (int i = 0; i < 50; i++) {
             ByteArrayOutputStream read = new ByteArrayOutputStream();
-            AsyncLogWriter ring = new AsyncLogWriter(new PrintStream(read));
-            ring.start();
-            ring.append("drained\n");
-            ring.stop();
+            AsyncLogWriter writer = new AsyncLogWriter(new PrintStream(read));
+            writer.start();
+            writer.append("drained\n");
+            writer.stop();
             awaitText(read, "drained");
         }
     }
@@ -52,7 +52,7 @@
     private static void awaitText(ByteArrayOutputStream read, String expected) throws InterruptedException {
         long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!text(read).contains(expected)) {
-            assertThat("in time", System.nanoTime() < endNanos, is(true));
+            assertThat("written within the timeout", System.nanoTime() < endNanos, is(true));
             Thread.sleep(1);
         }
     }
@@ -62,11 +62,11 @@
     }
 
     private static final class BlockedStream extends OutputStream {
-        private final CountDownLatch readerBack;
+        private final CountDownLatch readerContinues;
         private final OutputStream read;
 
-        BlockedStream(CountDownLatch readerBack, OutputStream read) {
-            this.readerBack = readerBack;
+        BlockedStream(CountDownLatch readerContinues, OutputStream read) {
+            this.readerContinues = readerContinues;
             this.read = read;
         }
 
@@ -78,7 +78,7 @@
         @Override
         public void write(byte[] bytes, int offset, int length) {
             try {
-                readerBack.await();
+                readerContinues.await();
                 read.write(bytes, offset, length);
             } catch (InterruptedException | java.io.IOException e) {
                 throw new IllegalStateException(e);
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/FrontFileReaderTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/FrontFileReaderTest.java
@@ -27,8 +27,8 @@
     private Path folder;
 
     /**
-     * A start reads its settings without the schema. A field that only the schema knows would silently keep its default
-     * after each restart, and be in force only once the file changes.
+     * The start reads the settings without the schema. Guards against a field that the schema has and the reader lacks:
+     * it would keep its default after each restart until the file changes.
      */
     @Test
     void startReadsEveryFieldThatTheSchemaHas() throws IOException {
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/FrontLoggingTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/FrontLoggingTest.java
@@ -16,8 +16,8 @@
 
 class FrontLoggingTest {
     /**
-     * The log is set up in code, and a fault in that leaves a front that serves and says nothing: nobody notices until
-     * somebody looks for the cause of a failed request.
+     * Guards against a front that serves but logs nothing, because the log is set up in code and a fault there stays
+     * unnoticed until the cause of a failed request is needed.
      */
     @Test
     void eventsReachStandardOutputAsLinesOfJson() {
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformDialectTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformDialectTest.java
@@ -60,8 +60,9 @@
     }
 
     /**
-     * A caller sets headers that only this system may set, or names one of them as belonging to its connection. The
-     * target would believe another organisation's name, keep memory for the caller, or run the request anywhere.
+     * A caller sets headers that only this system may set, or lists a header in its Connection header. If they were
+     * forwarded, the target would use the name of another organisation, reserve memory for the caller, or execute a
+     * request meant for another target.
      */
     @Test
     void headersReservedForTheSystemAreNotTakenFromTheCaller() {
@@ -107,7 +108,7 @@
         assertThat(head.keepAliveMillis(), is(OptionalLong.of(4_000)));
     }
 
-    /** The address of a target that is gone belongs to another one, which is healthy. */
+    /** The address of a removed target is reused by another target, which is healthy. */
     @Test
     void healthyResponseOfAnotherTargetIsRejected() {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformNamesTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformNamesTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The platform's names stand in its adapter and in no other program source. */
+/** Checks that only the adapter's sources contain the platform's names. */
 class PlatformNamesTest {
     private static final Path ROOT = Path.of("..");
     private static final Pattern NAMES = Pattern.compile(
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/SettingsPrecheckTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/SettingsPrecheckTest.java
@@ -25,20 +25,20 @@
              "retryWindowSeconds": 10, "stopGraceSeconds": 8, "directorySeconds": 5, "storeAddress": "10.0.0.9:5",
              "metricsPort": 6, "cores": 2, "coreShare": 0.75}
             """;
-    /** Values that a field may wrongly have. */
+    /** Values that replace the value of each field in turn, most of them invalid. */
     private static final List<String> REPLACEMENT_VALUES = List.of(
             "null", "\"\"", "\" \"", "\"x\"", "-1", "0", "0.5", "70000", "1e9", "true", "\"true\"", "[]", "[1]", "{}");
 
     @TempDir
     private Path folder;
 
-    /** Guards against starts that pay for the schema although the platform's file is as it should be. */
+    /** Guards against a start that takes the time to load the schema although the platform's file is valid. */
     @Test
     void validFilePassesWithoutTheSchema() {
         assertThat(SettingsPrecheck.passes(bytes(VALID)), is(true));
     }
 
-    /** Guards against a faulty file that is taken for sound, and in force, although the schema refuses it. */
+    /** Guards against an invalid file that passes the check and takes effect although the schema rejects it. */
     @Test
     void everyFileThatPassesIsValidByTheSchema() throws IOException {
         for (String text : variants()) {
@@ -48,12 +48,12 @@
         }
     }
 
-    /** Guards against a name that stands twice: the later value would silently win. */
+    /** Guards against a duplicate name, whose later value would silently replace the earlier one. */
     @Test
     void fileWithADuplicateNameDoesNotPass() throws IOException {
-        String twice = VALID.replace("\"cores\": 2", "\"cores\": 2, \"cores\": 3");
-        assertThat(SettingsPrecheck.passes(bytes(twice)), is(false));
-        assertThat(validateBySchema(twice), instanceOf(ReadResult.Invalid.class));
+        String duplicate = VALID.replace("\"cores\": 2", "\"cores\": 2, \"cores\": 3");
+        assertThat(SettingsPrecheck.passes(bytes(duplicate)), is(false));
+        assertThat(validateBySchema(duplicate), instanceOf(ReadResult.Invalid.class));
     }
 
     private static List<String> variants() {
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreClientTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreClientTest.java
@@ -23,9 +23,9 @@
 class StoreClientTest {
     private static final String IP = "127.0.0.1";
     private static final long TIMEOUT_SECONDS = 20;
-    /** The smallest link in use, 7 Mbit/s. */
+    /** Bandwidth of the slowest link in use, 7 Mbit/s. */
     private static final int LINK_BYTES_PER_SECOND = 875_000;
-    /** Largest value that may be published. */
+    /** Maximum size of a published value. */
     private static final int MAX_VALUE_BYTES = 1_048_576;
 
     private static final int CHUNK_BYTES = 8_192;
@@ -37,7 +37,9 @@
         loop.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS);
     }
 
-    /** Guards against a host with a small link that can never read a large configuration, and so never serves. */
+    /**
+     * Guards against a host with a slow link that never reads a large configuration in time and therefore never serves.
+     */
     @Test
     void largePageOverASlowLinkIsRead() throws Exception {
         try (SlowStore store = new SlowStore(Integer.MAX_VALUE)) {
@@ -45,7 +47,7 @@
         }
     }
 
-    /** Guards against waiting for ever for the rest of an answer whose connection hangs in the middle. */
+    /** Guards against waiting forever for the rest of a response whose connection stalls. */
     @Test
     void responseThatStallsTimesOut() throws Exception {
         try (SlowStore store = new SlowStore(MAX_VALUE_BYTES / 2)) {
@@ -53,7 +55,7 @@
         }
     }
 
-    /** A store that answers one call at the rate of a small link, and no more than so many bytes of it. */
+    /** A store that responds to one call at the rate of a slow link and stalls after a given number of body bytes. */
     private final class SlowStore implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName(IP));
         private final int maxBytes;
@@ -94,7 +96,7 @@
                 BufferedReader in =
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
                 while (!in.readLine().isEmpty()) {
-                    // The head of the call says nothing that the answer depends on.
+                    // The response does not depend on the request head.
                     continue;
                 }
                 OutputStream out = socket.getOutputStream();
@@ -106,7 +108,7 @@
                 }
                 TimeUnit.SECONDS.sleep(TIMEOUT_SECONDS);
             } catch (IOException | InterruptedException e) {
-                // The client closed its end, or the test is over.
+                // The client closed the connection, or the test has ended.
                 return;
             }
         }
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreDecoderTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreDecoderTest.java
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Other programs write under the same keys. An entry that lacks a field or has one of another type names no target;
-     * taking it for one would send requests to nowhere, or end the reading of all entries.
+     * Other programs write under the same keys. An entry that lacks a field, or has one of another type, is no target:
+     * decoding it as one would send requests to an invalid address, or abort the reading of all entries.
      */
     @ParameterizedTest
     @ValueSource(
