--- a/org.whinwharf.runtime.test/src/test/java/org/whinwharf/runtime/platform/PacingTest.java
+++ b/org.whinwharf.runtime.test/src/test/java/org/whinwharf/runtime/platform/PacingTest.java
@@ -10,7 +10,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 
-/** Drives the pacing of a whole fleet by a virtual clock and counts the reads of each second. */
+/** Simulates the pacing of a whole fleet with a virtual clock and counts the reads in each second. */
 class PacingTest {
     private static final int PROCESSES = 410 * 3;
     private static final int SECONDS = 60;
@@ -19,8 +19,8 @@
     private static final long START_SPREAD_MILLIS = 1_500;
     private static final int PLATFORM_READS_PER_SECOND = 2_000;
 
-    // Everything is restarted at once after a fault of the data centre's power. If all processes asked at the same
-    // instant, the platform would refuse most of them and the fleet would stay out of service for longer.
+    // All processes restart at once after a power failure of the data centre. If all of them read at the same instant,
+    // the platform would reject most of the reads, and the fleet would stay out of service for longer.
     @Test
     void restartOfTheWholeFleetStaysWithinThePlatformsRate() {
         int[] reads = simulate(DOCUMENT_WAIT_MILLIS, 0, at -> false);
@@ -34,7 +34,7 @@
         assertThat(reads[SECONDS - 1], greaterThan(0));
     }
 
-    // Operators publish twice within a second. Each time every waiting watch is answered and asks again.
+    // Operators publish twice within a second. Each change completes every pending read, and each watch reads again.
     @Test
     void twoChangesInASecondStayWithinThePlatformsRate() {
         int[] reads = simulate(DOCUMENT_WAIT_MILLIS, PROCESSES, at -> at == 30_000 || at == 30_700);
@@ -58,7 +58,10 @@
         assertThat(readsPerSecond, lessThan(PLATFORM_READS_PER_SECOND / 2L));
     }
 
-    /** Returns the reads of each second; {@code changes} tells at which millisecond something is published. */
+    /**
+     * Returns the number of reads in each second; {@code changes} tells whether a change is published at a given
+     * millisecond.
+     */
     private static int[] simulate(long waitMillis, int knownAtStart, LongFunction<Boolean> changes) {
         int[] reads = new int[SECONDS];
         PriorityQueue<SimulatedProcess> due =
@@ -79,11 +82,11 @@
     }
 
     private static int max(int[] reads) {
-        int most = 0;
-        for (int each : reads) {
-            most = Math.max(most, each);
+        int max = 0;
+        for (int count : reads) {
+            max = Math.max(max, count);
         }
-        return most;
+        return max;
     }
 
     private static final class SimulatedProcess {
@@ -92,17 +95,17 @@
         private boolean firstRead = true;
 
         void completeRead(LongFunction<Boolean> changes) {
-            long holdMillis = firstRead ? 0 : pacing.longPollMillis();
+            long longPollMillis = firstRead ? 0 : pacing.longPollMillis();
             boolean changed = firstRead;
             firstRead = false;
-            long tookMillis = 0;
-            while (tookMillis < holdMillis && !changed) {
-                tookMillis++;
-                changed = changes.apply(nextReadAtMillis + tookMillis);
+            long elapsedMillis = 0;
+            while (elapsedMillis < longPollMillis && !changed) {
+                elapsedMillis++;
+                changed = changes.apply(nextReadAtMillis + elapsedMillis);
             }
             PlatformAnswer<String> answer =
                     changed ? new PlatformAnswer.Changed<>("") : new PlatformAnswer.Unchanged<>();
-            nextReadAtMillis += tookMillis + pacing.nextDelayMillis(answer, tookMillis, PROCESSES);
+            nextReadAtMillis += elapsedMillis + pacing.nextDelayMillis(answer, elapsedMillis, PROCESSES);
         }
     }
 }
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/EventField.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/EventField.java
@@ -1,6 +1,11 @@
 package org.whinwharf.runtime.log;
 
-/** Closed list of the fields that events carry. None of them holds a secret, a prompt or an answer. */
+/**
+ * The fields that log events may carry. None of them holds a secret, a prompt or an answer.
+ *
+ * <p>The names in the log lines are explicit, because operators' queries match them; they stay when a constant is
+ * renamed.
+ */
 public enum EventField {
     /** Name of a host. */
     HOST("host"),
@@ -12,9 +17,9 @@
     DATA_CENTRE("dataCentre"),
     /** Incarnation in hexadecimal. */
     INCARNATION("incarnation"),
-    /** Why, in words. */
+    /** Reason, as free text or as a tag. */
     REASON("reason"),
-    /** Several reasons. */
+    /** List of reasons. */
     REASONS("reasons"),
     /** Exit code. */
     EXIT_CODE("exitCode"),
@@ -22,27 +27,27 @@
     GENERATION("generation"),
     /** Document digest in hexadecimal. */
     DIGEST("digest"),
-    /** Where something came from. */
+    /** Source of a document or catalog. */
     SOURCE("source"),
-    /** Revision of the host list. */
+    /** Revision of the host list or of the published items. */
     REVISION("revision"),
-    /** How many hosts. */
+    /** Number of hosts. */
     HOSTS("hosts"),
-    /** Host and role of another process. */
+    /** Host and role, or address, of another process. */
     PEER("peer"),
     /** Id of a request. */
     REQUEST("request"),
-    /** Organisation. */
+    /** Name of the organisation. */
     ORGANISATION("organisation"),
     /** Rank of the tier. */
     TIER_RANK("tierRank"),
-    /** Service. */
+    /** Name of the service. */
     SERVICE("service"),
-    /** Model. */
+    /** Name of the model. */
     MODEL("model"),
     /** Call of a plain service. */
     CALL("call"),
-    /** Target. */
+    /** Id of the target. */
     TARGET("target"),
     /** Slice as service/dataCentre/index. */
     SLICE("slice"),
@@ -50,45 +55,45 @@
     SHARE("share"),
     /** Grant in hexadecimal. */
     GRANT("grant"),
-    /** Name of the error kind. */
+    /** Name of the error kind, or cause of a disconnection. */
     KIND("kind"),
-    /** What is known of whether the request ran. */
+    /** Whether the request was executed, as far as is known. */
     RAN("ran"),
     /** Tokens of the prompt. */
     PROMPT_TOKENS("promptTokens"),
-    /** Prompt tokens that the target's cache did not hold. */
+    /** Prompt tokens that were not in the target's cache. */
     PREFILL_TOKENS("prefillTokens"),
     /** Tokens of the answer. */
     ANSWER_TOKENS("answerTokens"),
-    /** Bytes of an answer that the caller's connection had not taken. */
+    /** Bytes of an answer that the connection of the caller had not accepted. */
     UNREAD_BYTES("unreadBytes"),
-    /** Bytes that came before something ended. */
+    /** Bytes received before a transfer ended. */
     RECEIVED_BYTES("receivedBytes"),
-    /** Milliseconds that the request waited. */
+    /** Time in milliseconds that the request waited. */
     WAITED_MILLIS("waitedMillis"),
-    /** Milliseconds from sending to the first byte of the answer. */
+    /** Time in milliseconds from the dispatch to the first byte of the answer. */
     FIRST_BYTE_MILLIS("firstByteMillis"),
-    /** Milliseconds from start to end. */
+    /** Total duration in milliseconds. */
     TOTAL_MILLIS("totalMillis"),
-    /** Milliseconds after which to come back. */
+    /** Time in milliseconds after which the caller may retry. */
     RETRY_AFTER_MILLIS("comeBackMillis"),
-    /** Age of what was known, in milliseconds. */
+    /** Age in milliseconds of the state on which a decision is based, or duration of a silence. */
     AGE_MILLIS("ageMillis"),
-    /** State before. */
+    /** Previous state. */
     FROM("from"),
-    /** State after. */
+    /** New state. */
     TO("to"),
-    /** Concurrency limit. */
+    /** Concurrency limit; for a returned target, the remaining cold time in milliseconds. */
     LIMIT("limit"),
-    /** Requests at a target over its slots. */
+    /** Requests at a target, divided by its slots. */
     OCCUPANCY("occupancy"),
-    /** Predicted time to the first event. */
+    /** Predicted time to the first event, or estimated wait, in milliseconds. */
     PREDICTED_MILLIS("predictedMillis"),
     /** Rank of a floor. */
     FLOOR_RANK("floorRank"),
     /** Fencing number of an order. */
     FENCING_NUMBER("fencingNumber"),
-    /** What an order asks for. */
+    /** Action that an order requests. */
     ORDER("order"),
     /** HTTP status. */
     STATUS("status"),
@@ -100,19 +105,19 @@
     PARENT_SPAN_ID("parentSpanId"),
     /** Name of a span. */
     NAME("name"),
-    /** Wall clock at the start of a span, in nanoseconds. */
+    /** Start of a span by the wall clock, in nanoseconds since the epoch. */
     START_UNIX_NANOS("startUnixNanos"),
-    /** Duration of a span. */
+    /** Duration of a span in microseconds. */
     DURATION_MICROS("durationMicros"),
     /** Attributes of a span. */
     ATTRIBUTES("attributes"),
-    /** Requests that went before it in a waiting line. */
+    /** Number of requests ahead in the queue. */
     QUEUED_AHEAD("ahead"),
-    /** Milliseconds for which a waiting line had not emptied. */
+    /** Time in milliseconds since the queue was last empty. */
     BACKLOG_AGE_MILLIS("standingMillis"),
-    /** What a request uses of its organisation's quota. */
+    /** Tokens that a request takes from the quota of its organisation. */
     QUOTA_TOKENS("quotaTokens"),
-    /** What was left of the quota, below 0 a debt. */
+    /** Remaining quota of the organisation; negative when it is overdrawn. */
     QUOTA_LEVEL("quotaLevel");
 
     private final String jsonName;
@@ -122,7 +127,7 @@
     }
 
     /**
-     * Returns the name in the log line.
+     * Returns the name of the field in log lines.
      *
      * @return name in camel case
      */
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/EventLog.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/EventLog.java
@@ -5,9 +5,9 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Writes one event as one log line. */
+/** Builder of one log line, which describes one event. */
 public final class EventLog {
-    /** Name of the logger to which events go. */
+    /** Name of the logger that receives the events. */
     public static final String LOGGER_NAME = "whinwharf.events";
 
     private static final Logger LOG = LogManager.getLogger(LOGGER_NAME);
@@ -23,7 +23,7 @@
     /**
      * Starts a line.
      *
-     * @param event what happened
+     * @param event event to log
      * @return a line without fields
      */
     public static EventLog event(LogEvent event) {
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Adds a text.
+     * Adds a string.
      *
-     * @param field field that the event has; any other is left out
-     * @param value no secret, prompt or answer
+     * @param field a field of the event; any other field is omitted from the line
+     * @param value value without secrets, prompts or answers
      * @return this line
      */
     public EventLog with(EventField field, String value) {
@@ -44,8 +44,8 @@
     /**
      * Adds a number.
      *
-     * @param field field that the event has; any other is left out
-     * @param value the number, in the unit that the field's name says
+     * @param field a field of the event; any other field is omitted from the line
+     * @param value value in the unit of the field
      * @return this line
      */
     public EventLog with(EventField field, Number value) {
@@ -53,10 +53,10 @@
     }
 
     /**
-     * Adds several texts.
+     * Adds a list of strings.
      *
-     * @param field field that the event has; any other is left out
-     * @param values no secret, prompt or answer
+     * @param field a field of the event; any other field is omitted from the line
+     * @param values values without secrets, prompts or answers
      * @return this line
      */
     public EventLog with(EventField field, Collection<String> values) {
@@ -64,17 +64,17 @@
     }
 
     /**
-     * Adds named values.
+     * Adds a map of values.
      *
-     * @param field field that the event has; any other is left out
-     * @param values texts, numbers and truth values
+     * @param field a field of the event; any other field is omitted from the line
+     * @param values strings, numbers and booleans by name
      * @return this line
      */
     public EventLog with(EventField field, Map<String, Object> values) {
         return put(field, values);
     }
 
-    /** Writes the line. */
+    /** Writes the line, unless the level of the event is disabled. */
     public void call() {
         if (message != null) {
             LOG.log(event.level(), message);
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/EventMessage.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/EventMessage.java
@@ -2,7 +2,7 @@
 
 import org.apache.logging.log4j.message.MapMessage;
 
-/** Log message of one event; its text is the event's, its map holds the fields. */
+/** Log message of one event: the formatted text is the description of the event, the map holds its fields. */
 final class EventMessage extends MapMessage<EventMessage, Object> {
     private static final long serialVersionUID = 1L;
     private static final String EVENT = "event";
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/LogEvent.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/LogEvent.java
@@ -7,23 +7,27 @@
 import org.apache.logging.log4j.Level;
 import org.whinwharf.runtime.RuntimeText;
 
-/** Closed list of the events that daemons log, each with the fields it may carry. */
+/**
+ * The events that processes log, each with the fields it may carry.
+ *
+ * <p>The name of a constant determines the name in the log lines, which operators' queries match.
+ */
 public enum LogEvent {
     /** A daemon has started. */
     STARTED(Level.INFO, EventField.HOST, EventField.ROLE, EventField.VERSION, EventField.INCARNATION),
-    /** A daemon became ready. */
+    /** A daemon is ready. */
     READY(Level.INFO, EventField.GENERATION, EventField.REVISION),
-    /** A daemon is not ready, or not any more. */
+    /** A daemon is not ready, or is no longer ready. */
     NOT_READY(Level.WARN, EventField.REASONS),
     /** A planned stop has begun. */
     LEAVING(Level.INFO),
-    /** Nothing is in flight any more. */
+    /** No request is in flight any longer, during a planned stop. */
     DRAINED(Level.INFO),
-    /** The bound on draining has passed. */
+    /** The drain timeout has expired while requests are still in flight. */
     DRAIN_TIMEOUT(Level.WARN),
     /** A daemon has stopped. */
     STOPPED(Level.INFO, EventField.EXIT_CODE),
-    /** Another document is in force. */
+    /** Another document has come into force. */
     DOCUMENT_IN_FORCE(Level.INFO, EventField.GENERATION, EventField.DIGEST, EventField.SOURCE),
     /** A published document was refused. */
     DOCUMENT_REFUSED(Level.ERROR, EventField.GENERATION, EventField.SOURCE, EventField.REASONS),
@@ -33,7 +37,7 @@
     DOCUMENT_UNREACHABLE(Level.WARN, EventField.REASON),
     /** The configuration service can be read again. */
     DOCUMENT_REACHABLE(Level.INFO),
-    /** Another host list is in force. */
+    /** Another host list has come into force. */
     LIST_IN_FORCE(Level.INFO, EventField.REVISION, EventField.HOSTS),
     /** A published host list was refused. */
     LIST_REFUSED(Level.ERROR, EventField.REASON),
@@ -84,7 +88,7 @@
             EventField.TOTAL_MILLIS,
             EventField.STATUS,
             EventField.RETRY_AFTER_MILLIS),
-    /** An answer under way ended without its last event, or a caller left before its answer. */
+    /** An answer ended without its last event, or the caller disconnected before its answer. */
     ANSWER_CUT(Level.INFO, EventField.REQUEST, EventField.REASON, EventField.ANSWER_TOKENS, EventField.UNREAD_BYTES),
     /** A request was refused before it was admitted. */
     REQUEST_REFUSED(
@@ -108,7 +112,7 @@
             EventField.AGE_MILLIS),
     /** A request was relayed to its home. */
     REQUEST_RELAYED(Level.INFO, EventField.REQUEST, EventField.PEER),
-    /** A grant came too late. */
+    /** A grant arrived too late and was returned unused. */
     GRANT_EXPIRED(Level.WARN, EventField.REQUEST, EventField.GRANT, EventField.TARGET, EventField.AGE_MILLIS),
     /** A scheduler shed a request. */
     SHED(
@@ -119,9 +123,9 @@
             EventField.TIER_RANK,
             EventField.REASON,
             EventField.RETRY_AFTER_MILLIS),
-    /** A scheduler owns a slice, or another share of it. */
+    /** A scheduler now owns a slice, or another share of it. */
     SLICE_OWNED(Level.INFO, EventField.SLICE, EventField.SHARE),
-    /** A scheduler owns a slice no more. */
+    /** A scheduler no longer owns a slice. */
     SLICE_LOST(Level.INFO, EventField.SLICE, EventField.REASON),
     /** A floor was raised. */
     FLOOR_RAISED(Level.INFO, EventField.SERVICE, EventField.FLOOR_RANK, EventField.PEER),
@@ -141,15 +145,15 @@
             EventField.ORDER,
             EventField.STATUS,
             EventField.REASON),
-    /** An order was not sent although it was decided. */
+    /** An order was decided but not sent. */
     ORDER_WITHHELD(Level.WARN, EventField.TARGET, EventField.FENCING_NUMBER, EventField.REASON, EventField.AGE_MILLIS),
-    /** Another version of the catalog is in force. */
+    /** Another version of the catalog has come into force. */
     CATALOG_IN_FORCE(Level.INFO, EventField.VERSION, EventField.REVISION, EventField.SOURCE),
-    /** A published item was unreadable and changed nothing. */
+    /** A published item was invalid and was ignored. */
     ITEM_REFUSED(Level.WARN, EventField.NAME, EventField.REVISION, EventField.REASON),
-    /** Items are read from another source. */
+    /** The source from which published items are read changed. */
     ITEMS_SOURCE(Level.INFO, EventField.FROM, EventField.TO, EventField.REVISION, EventField.REASON),
-    /** A peer that was asked for items did not give a whole answer. */
+    /** A request to a peer for its items failed or did not complete. */
     ITEMS_QUESTION_FAILED(
             Level.WARN,
             EventField.PEER,
@@ -157,31 +161,31 @@
             EventField.REASON,
             EventField.RECEIVED_BYTES,
             EventField.TOTAL_MILLIS),
-    /** Data centres out of service changed. */
+    /** The set of evacuated data centres changed. */
     DATA_CENTRES_OUT(Level.INFO, EventField.REASONS, EventField.REVISION),
     /** A target was published, changed or removed. */
     TARGET_PUBLISHED(Level.INFO, EventField.TARGET, EventField.SERVICE, EventField.DATA_CENTRE, EventField.STATUS),
-    /** A target was taken out of use by what its answers show. */
+    /** A target was ejected, because of the outcome of its requests. */
     TARGET_EJECTED(Level.WARN, EventField.TARGET, EventField.SERVICE, EventField.REASON),
-    /** A target came back into use after a health check. */
+    /** An ejected target is in use again after a successful health check. */
     TARGET_RETURNED(Level.INFO, EventField.TARGET, EventField.SERVICE, EventField.LIMIT),
-    /** A peer was heard for the first time, or in a new lifetime. */
+    /** A peer was heard from for the first time, or with a new incarnation. */
     MEMBER_HEARD(Level.INFO, EventField.PEER, EventField.INCARNATION, EventField.STATUS),
-    /** A process turned to another coordinator of a service. */
+    /** The coordinator that this process uses for a service changed. */
     COORDINATOR_CHANGED(Level.INFO, EventField.SERVICE, EventField.FROM, EventField.TO),
-    /** A coordinator did not answer in time and is passed over for a while. */
+    /** A coordinator did not respond in time and is skipped for a while. */
     COORDINATOR_SILENT(Level.WARN, EventField.PEER, EventField.SERVICE, EventField.AGE_MILLIS),
-    /** A peer was forgotten. */
+    /** A peer was evicted after a long silence. */
     MEMBER_FORGOTTEN(Level.INFO, EventField.PEER),
-    /** A request is sent again, since the first target gave no whole answer. */
+    /** A request is retried, because its target returned no complete answer. */
     REQUEST_REPEATED(Level.INFO, EventField.REQUEST, EventField.TARGET, EventField.REASON),
-    /** Changed settings are in force. */
+    /** Changed settings have come into force. */
     SETTINGS_IN_FORCE(Level.INFO),
-    /** Changed settings have faults; those before stay in force. */
+    /** Changed settings are invalid; the previous settings stay in force. */
     SETTINGS_REFUSED(Level.ERROR, EventField.REASON),
-    /** A duty of the process failed once; it goes on. */
+    /** A task of the process failed; the process continues. */
     DUTY_FAILED(Level.ERROR, EventField.NAME, EventField.REASON),
-    /** What a caller sent is no request. */
+    /** A caller sent a malformed request. */
     REQUEST_MALFORMED(Level.INFO, EventField.KIND, EventField.REASON),
     /** A span ended. */
     SPAN(
@@ -204,7 +208,7 @@
     }
 
     /**
-     * Returns the name in the log line.
+     * Returns the name of the event in log lines.
      *
      * @return name in lower case with hyphens, such as {@code grant-expired}
      */
@@ -216,7 +220,7 @@
      * Tells whether the event may carry a field.
      *
      * @param field the field
-     * @return true when it may
+     * @return true if it may
      */
     public boolean has(EventField field) {
         return fields.contains(field);
@@ -232,7 +236,7 @@
     }
 
     /**
-     * Describes the event to people.
+     * Returns a description of the event for readers of the log.
      *
      * @return short text
      */
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/package-info.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/log/package-info.java
@@ -1,2 +1,2 @@
-/** Log lines in JSON: a closed list of events with a closed list of fields. */
+/** Structured log lines in JSON, from a fixed set of events with a fixed set of fields. */
 package org.whinwharf.runtime.log;
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/Pacing.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/Pacing.java
@@ -3,16 +3,16 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Spreads the reads of a whole fleet over time.
+ * Determines the delays between the reads of one watch, so that the reads of the fleet are spread over time.
  *
- * <p>The platform bears about two thousand reads a second from all processes together. After a change, an outage or a
- * restart of everything all processes would ask at the same instant; one would notice answers 429 and processes that
- * stay not ready. So each wait has a random part that grows with the fleet.
+ * <p>The platform handles about two thousand reads a second from all processes together. After a change, an outage or a
+ * restart of the whole fleet, all processes would read at the same instant; the platform would respond with status 429
+ * and processes would not become ready. Each delay therefore has a random part that grows with the fleet.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class Pacing {
-    /** Reads a second that the whole fleet aims at when all its processes are due at once. */
+    /** Intended rate of reads per second of the whole fleet when all its processes are due at once. */
     public static final int FLEET_READS_PER_SECOND = 400;
 
     private static final long MIN_SPREAD_MILLIS = 50;
@@ -27,11 +27,11 @@
     private int failures;
 
     /**
-     * Makes the pacing of one watch.
+     * Creates the pacing of one watch.
      *
-     * @param waitMillis longest wait that the platform is asked for
-     * @param startSpreadMillis time over which the first reads of a fleet of unknown size are spread
-     * @param random random numbers
+     * @param waitMillis maximum long-poll time of a read, in milliseconds
+     * @param startSpreadMillis time in milliseconds over which the first reads of a fleet of unknown size are spread
+     * @param random source of random numbers
      */
     public Pacing(long waitMillis, long startSpreadMillis, UniformRandomProvider random) {
         this.waitMillis = waitMillis;
@@ -40,53 +40,53 @@
     }
 
     /**
-     * Returns the wait before the first read.
+     * Returns the delay before the first read.
      *
-     * @param processes processes of the fleet; 0 when not known yet
-     * @return milliseconds
+     * @param fleetSize number of processes in the fleet; 0 while unknown
+     * @return delay in milliseconds
      */
-    public long initialDelayMillis(int processes) {
-        return randomUpTo(processes == 0 ? startSpreadMillis : spreadMillis(processes));
+    public long initialDelayMillis(int fleetSize) {
+        return randomUpTo(fleetSize == 0 ? startSpreadMillis : spreadMillis(fleetSize));
     }
 
     /**
-     * Returns how long the platform may hold the next answer back.
+     * Returns the long-poll time of the next read: how long the platform may hold its answer until something changes.
      *
-     * @return milliseconds, between half of the longest wait and the whole
+     * @return time in milliseconds, random between half of the maximum and the maximum
      */
     public long longPollMillis() {
         return waitMillis / 2 + randomUpTo(waitMillis / 2);
     }
 
     /**
-     * Returns the wait before the next read.
+     * Returns the delay before the next read.
      *
-     * @param answer answer to the last one
-     * @param tookMillis how long the answer took
-     * @param processes processes of the fleet; 0 when not known yet
-     * @return milliseconds
+     * @param answer answer to the last read
+     * @param elapsedMillis duration of that read in milliseconds
+     * @param fleetSize number of processes in the fleet; 0 while unknown
+     * @return delay in milliseconds
      */
-    public long nextDelayMillis(PlatformAnswer<?> answer, long tookMillis, int processes) {
+    public long nextDelayMillis(PlatformAnswer<?> answer, long elapsedMillis, int fleetSize) {
         if (answer instanceof PlatformAnswer.Failed<?>) {
-            return retryDelayMillis(processes);
+            return retryDelayMillis(fleetSize);
         }
         failures = 0;
         if (answer instanceof PlatformAnswer.Changed<?>) {
-            return MIN_SPREAD_MILLIS + randomUpTo(spreadMillis(processes));
+            return MIN_SPREAD_MILLIS + randomUpTo(spreadMillis(fleetSize));
         }
-        // A platform that does not hold the answer back must not be asked in a tight loop.
-        return Math.max(0, waitMillis / 2 - tookMillis);
+        // A platform that does not hold its answers must not be polled in a busy loop.
+        return Math.max(0, waitMillis / 2 - elapsedMillis);
     }
 
-    private long retryDelayMillis(int processes) {
+    private long retryDelayMillis(int fleetSize) {
         long doubled = INITIAL_BACKOFF_MILLIS << Math.min(failures, MAX_DOUBLINGS);
         failures++;
-        long ceilingMillis = Math.max(Math.min(doubled, MAX_BACKOFF_MILLIS), spreadMillis(processes));
-        return MIN_RETRY_DELAY_MILLIS + randomUpTo(ceilingMillis);
+        long backoffMillis = Math.max(Math.min(doubled, MAX_BACKOFF_MILLIS), spreadMillis(fleetSize));
+        return MIN_RETRY_DELAY_MILLIS + randomUpTo(backoffMillis);
     }
 
-    private static long spreadMillis(int processes) {
-        return Math.max(MIN_SPREAD_MILLIS, 1_000L * processes / FLEET_READS_PER_SECOND);
+    private static long spreadMillis(int fleetSize) {
+        return Math.max(MIN_SPREAD_MILLIS, 1_000L * fleetSize / FLEET_READS_PER_SECOND);
     }
 
     private long randomUpTo(long millis) {
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/PlatformAnswer.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/PlatformAnswer.java
@@ -1,31 +1,31 @@
 package org.whinwharf.runtime.platform;
 
 /**
- * Answer to one read of the platform.
+ * Outcome of one read of the platform.
  *
- * @param <T> type of what is published
+ * @param <T> type of the published value
  */
 public sealed interface PlatformAnswer<T> {
     /**
-     * Something newer was published than what was known.
+     * The platform has published a newer value than the known one.
      *
-     * @param value what was published
-     * @param <T> its type
+     * @param value the published value
+     * @param <T> type of the value
      */
     record Changed<T>(T value) implements PlatformAnswer<T> {}
 
     /**
-     * Nothing newer was published until the wait had run out.
+     * The platform published nothing newer within the long-poll time.
      *
-     * @param <T> type of what is published
+     * @param <T> type of the published value
      */
     record Unchanged<T>() implements PlatformAnswer<T> {}
 
     /**
-     * The platform did not answer, or not with what it should.
+     * The platform did not answer, or its answer was invalid.
      *
-     * @param reason why, in words
-     * @param <T> type of what is published
+     * @param reason cause of the failure, for the log
+     * @param <T> type of the published value
      */
     record Failed<T>(String reason) implements PlatformAnswer<T> {}
 }
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/PlatformClient.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/PlatformClient.java
@@ -18,7 +18,7 @@
 import org.whinwharf.lifecycle.Service;
 import org.whinwharf.wire.schema.HostList;
 
-/** HTTP client of one of the platform's services. */
+/** HTTP client of one of the platform's services, such as its configuration service. */
 public final class PlatformClient implements Service {
     private static final long MAX_LONG_POLL_MILLIS = 30_000;
     private static final long RESPONSE_MARGIN_MILLIS = 5_000;
@@ -28,9 +28,9 @@
     private final HttpClient client;
 
     /**
-     * Makes a client. Opens no connection.
+     * Creates a client. Opens no connection.
      *
-     * @param baseUrl base URL of the service, by IP number
+     * @param baseUrl base URL of the service, with an IP address as its host
      */
     public PlatformClient(String baseUrl) {
         DefaultHttpClientConfiguration configuration = new DefaultHttpClientConfiguration();
@@ -43,7 +43,7 @@
 
     @Override
     public void start() {
-        // Connections are opened by the first read.
+        // The first read opens the connection.
     }
 
     @Override
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Makes reads of the published document.
+     * Creates a reader of the published document.
      *
      * @param environment name of the environment
-     * @return reader of the published form
+     * @return reader of the document in its published, encoded form
      */
     public PlatformReader<byte[]> documentReader(String environment) {
         String path = "/v1/documents/" + environment + "?above=%d&waitMillis=%d";
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Makes reads of the host list.
+     * Creates a reader of the host list.
      *
      * @return reader of the list
      */
@@ -79,9 +79,9 @@
                 return new PlatformAnswer.Unchanged<>();
             }
             byte[] body = response.body();
-            return body == null ? new PlatformAnswer.Failed<>("empty answer") : parser.apply(body);
+            return body == null ? new PlatformAnswer.Failed<>("empty response body") : parser.apply(body);
         } catch (HttpClientResponseException e) {
-            return new PlatformAnswer.Failed<>("status " + e.code());
+            return new PlatformAnswer.Failed<>("HTTP status " + e.code());
         } catch (HttpClientException e) {
             return new PlatformAnswer.Failed<>(String.valueOf(e.getMessage()));
         }
@@ -93,7 +93,7 @@
             JsonFormat.parser().ignoringUnknownFields().merge(new String(json, StandardCharsets.UTF_8), list);
             return new PlatformAnswer.Changed<>(list.build());
         } catch (InvalidProtocolBufferException e) {
-            return new PlatformAnswer.Failed<>("not a host list: " + e.getMessage());
+            return new PlatformAnswer.Failed<>("invalid host list: " + e.getMessage());
         }
     }
 
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/PlatformReader.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/PlatformReader.java
@@ -1,17 +1,17 @@
 package org.whinwharf.runtime.platform;
 
 /**
- * One kind of read of the platform.
+ * Reads one published value of the platform by long polling.
  *
- * @param <T> type of what is published
+ * @param <T> type of the published value
  */
 @FunctionalInterface
 public interface PlatformReader<T> {
     /**
-     * Asks for something newer and waits for it.
+     * Requests a newer value and blocks until the platform answers.
      *
-     * @param above generation or revision that is known; 0 for none
-     * @param waitMillis how long the platform may hold the answer back
+     * @param above known generation or revision; 0 for none
+     * @param waitMillis long-poll time in milliseconds for which the platform may hold its answer
      * @return the answer
      */
     PlatformAnswer<T> read(long above, long waitMillis);
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/Watch.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/Watch.java
@@ -11,9 +11,9 @@
 import org.whinwharf.time.Ticker;
 
 /**
- * Thread that reads one thing of the platform again and again.
+ * Thread that repeatedly reads one published value of the platform.
  *
- * @param <T> type of what is published
+ * @param <T> type of the published value
  */
 public final class Watch<T> implements Service {
     private static final Logger LOG = LogManager.getLogger(Watch.class);
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Starts the description of a watch.
+     * Creates a builder of a watch.
      *
-     * @param <T> type of what is published
+     * @param <T> type of the published value
      * @return a builder
      */
     public static <T> Builder<T> builder() {
@@ -67,9 +67,9 @@
     }
 
     /**
-     * Returns how many reads were begun; the platform counts each one.
+     * Returns the number of reads started; the platform counts each one.
      *
-     * @return count since the start
+     * @return number since the start
      */
     public long readCount() {
         return readCount.get();
@@ -82,18 +82,18 @@
                 stopped = stopping.await(readOnce(), TimeUnit.MILLISECONDS);
             }
         } catch (InterruptedException e) {
-            LOG.debug("{} ends", thread.getName());
+            LOG.debug("{} stops", thread.getName());
         }
     }
 
     private long readOnce() {
-        long askedAtMillis = ticker.nowMillis();
+        long requestedAtMillis = ticker.nowMillis();
         readCount.incrementAndGet();
         PlatformAnswer<T> answer = read();
         if (stopping.getCount() > 0) {
-            listener.readCompleted(answer, askedAtMillis);
+            listener.readCompleted(answer, requestedAtMillis);
         }
-        return pacing.nextDelayMillis(answer, ticker.nowMillis() - askedAtMillis, fleetSize.getAsInt());
+        return pacing.nextDelayMillis(answer, ticker.nowMillis() - requestedAtMillis, fleetSize.getAsInt());
     }
 
     private PlatformAnswer<T> read() {
@@ -105,9 +105,9 @@
     }
 
     /**
-     * Describes a watch.
+     * Builder of a watch.
      *
-     * @param <T> type of what is published
+     * @param <T> type of the published value
      */
     public static final class Builder<T> {
         private String name = "watch";
@@ -132,9 +132,9 @@
         }
 
         /**
-         * Sets what is read.
+         * Sets the reader.
          *
-         * @param reader the read
+         * @param reader reads the published value
          * @return this builder
          */
         public Builder<T> reader(PlatformReader<T> reader) {
@@ -143,7 +143,7 @@
         }
 
         /**
-         * Sets who takes the answers.
+         * Sets the listener for the outcomes of reads.
          *
          * @param listener the listener
          * @return this builder
@@ -154,9 +154,9 @@
         }
 
         /**
-         * Sets the times between reads.
+         * Sets the pacing, which determines the delays between reads.
          *
-         * @param pacing used by this watch alone
+         * @param pacing pacing that only this watch uses
          * @return this builder
          */
         public Builder<T> pacing(Pacing pacing) {
@@ -165,24 +165,24 @@
         }
 
         /**
-         * Sets how the known generation or revision is found.
+         * Sets the supplier of the known generation or revision.
          *
-         * @param known called before each read
+         * @param knownRevision supplies it before each read; 0 for none
          * @return this builder
          */
-        public Builder<T> knownRevision(LongSupplier known) {
-            this.knownRevision = known;
+        public Builder<T> knownRevision(LongSupplier knownRevision) {
+            this.knownRevision = knownRevision;
             return this;
         }
 
         /**
-         * Sets how the size of the fleet is found.
+         * Sets the supplier of the size of the fleet.
          *
-         * @param processes number of processes; 0 while not known
+         * @param fleetSize supplies the number of processes; 0 while unknown
          * @return this builder
          */
-        public Builder<T> fleetSize(IntSupplier processes) {
-            this.fleetSize = processes;
+        public Builder<T> fleetSize(IntSupplier fleetSize) {
+            this.fleetSize = fleetSize;
             return this;
         }
 
@@ -198,7 +198,7 @@
         }
 
         /**
-         * Makes the watch.
+         * Creates the watch.
          *
          * @return a watch, not yet started
          */
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/WatchListener.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/WatchListener.java
@@ -1,17 +1,18 @@
 package org.whinwharf.runtime.platform;
 
 /**
- * Receives the answers of a watch, on the watch's thread.
+ * Receives the outcomes of the reads of a watch, on the thread of the watch.
  *
- * @param <T> type of what is published
+ * @param <T> type of the published value
  */
 @FunctionalInterface
 public interface WatchListener<T> {
     /**
-     * Takes an answer.
+     * Handles the outcome of a read.
      *
      * @param answer the answer
-     * @param askedAtMillis monotonic clock when it was asked for: what the answer says is at most this old
+     * @param requestedAtMillis monotonic time in milliseconds at which the read started; the content of the answer is
+     *     not older
      */
-    void readCompleted(PlatformAnswer<T> answer, long askedAtMillis);
+    void readCompleted(PlatformAnswer<T> answer, long requestedAtMillis);
 }
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/package-info.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/package-info.java
@@ -1,2 +1,2 @@
-/** Reads of the platform: the published document and the host list. */
+/** Reads the published document and the host list from the platform. */
 package org.whinwharf.runtime.platform;
