--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/ActionExecutor.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/ActionExecutor.java
@@ -77,12 +77,12 @@
     }
 
     /**
-     * Orders nothing more.
+     * Stops reading engines and sending orders.
      *
-     * @param drained is completed when no order is in flight
+     * @param whenDrained future that is completed when no order is in flight
      */
-    public void leave(CompletableFuture<Void> drained) {
-        drained = drained;
+    public void leave(CompletableFuture<Void> whenDrained) {
+        drained = whenDrained;
         completeDrainIfIdle();
     }
 
