--- a/org.whinwharf/src/main/java/org/whinwharf/order/DesiredEngineState.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/DesiredEngineState.java
@@ -14,31 +14,31 @@
 import org.whinwharf.wire.schema.Model;
 
 /**
- * What the document wants of one engine: the models of all deployments that describe it, and the role that the most
- * specific of them names.
+ * State that the operators' document asks for in one engine: the models of all deployments that match the engine, and
+ * the role that the most specific of these deployments names.
  *
- * @param models models with version and adapters
- * @param role role
+ * @param models models to load, with version and adapters
+ * @param role role to take: {@code mixed}, {@code prefill} or {@code decode}
  */
 public record DesiredEngineState(List<Model> models, String role) {
     private static final String DEFAULT_ROLE = "mixed";
 
     /**
-     * Copies the models.
+     * Creates a desired state. Copies the list of models.
      *
-     * @param models models with version and adapters
-     * @param role role
+     * @param models models to load, with version and adapters
+     * @param role role to take
      */
     public DesiredEngineState {
         models = List.copyOf(models);
     }
 
     /**
-     * Reads the goal of an engine from the document.
+     * Computes the desired state of an engine from the document.
      *
      * @param document document in force
-     * @param target the engine
-     * @return goal; empty when no deployment describes the engine, which is then left as it is
+     * @param target host entry of the engine
+     * @return desired state; empty when no deployment matches the engine, which then gets no orders
      */
     public static Optional<DesiredEngineState> of(DocumentView document, Host target) {
         List<Deployment> matching = document.deployments(target.getTarget().getService()).stream()
@@ -51,24 +51,24 @@
         matching.forEach(deployment -> names.addAll(deployment.getModelsList()));
         List<Model> models =
                 names.stream().flatMap(name -> document.model(name).stream()).toList();
-        Deployment specific = matching.stream()
+        Deployment mostSpecific = matching.stream()
                 .max(Comparator.comparingInt(DesiredEngineState::specificity))
                 .orElseThrow();
-        return Optional.of(new DesiredEngineState(models, roleOrDefault(specific.getRole())));
+        return Optional.of(new DesiredEngineState(models, roleOrDefault(mostSpecific.getRole())));
     }
 
     /**
-     * Finds what an engine lacks.
+     * Returns the steps that bring an engine from its current state to this one.
      *
-     * @param state state of the engine
-     * @return steps in the order in which they are to be taken; empty when the engine is as the document wants it
+     * @param state current state of the engine
+     * @return steps in the order in which they must be taken; empty when the engine is in the desired state
      */
     public List<OrderStep> missingSteps(EngineState state) {
         List<OrderStep> steps = new ArrayList<>();
         if (!roleOrDefault(state.getRole()).equals(role)) {
             steps.add(OrderStep.role(role));
         }
-        // Dropped before others are loaded, so that there is room for them.
+        // Unloads come before loads because the new models need the memory.
         state.getModelsList().stream()
                 .map(LoadedModel::getName)
                 .filter(name ->
@@ -79,10 +79,10 @@
     }
 
     /**
-     * Tells how much an engine needs its next load.
+     * Returns the priority of the engine's next load.
      *
-     * @param state state of the engine
-     * @return need
+     * @param state current state of the engine
+     * @return priority among the loads of all engines
      */
     public LoadPriority loadPriority(EngineState state) {
         if (state.getModelsCount() == 0) {
@@ -95,11 +95,11 @@
     }
 
     private static boolean matches(Deployment deployment, Host target) {
-        boolean here = deployment.getDataCentre().isEmpty()
+        boolean dataCentreMatches = deployment.getDataCentre().isEmpty()
                 || deployment.getDataCentre().equals(target.getDataCentre());
-        boolean such = deployment.getHardware().isEmpty()
+        boolean hardwareMatches = deployment.getHardware().isEmpty()
                 || deployment.getHardware().equals(target.getTarget().getHardware());
-        return here && such;
+        return dataCentreMatches && hardwareMatches;
     }
 
     private static int specificity(Deployment deployment) {
--- a/org.whinwharf/src/main/java/org/whinwharf/order/LoadPriority.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/LoadPriority.java
@@ -1,11 +1,11 @@
 package org.whinwharf.order;
 
-/** How much an engine needs a load, the greatest need first. */
+/** Priority of a load at the weight store, highest first; loads are sorted by the order of these constants. */
 public enum LoadPriority {
-    /** The engine has no model at all. */
+    /** The engine has no model loaded and serves no requests. */
     SERVES_NOTHING,
-    /** A model is missing. */
+    /** The engine serves some models, but a model that the document asks for is not loaded. */
     MODEL_MISSING,
-    /** A model has another version or other adapters. */
+    /** Every model is loaded, but one has another version or other adapters than the document asks for. */
     OTHER_VERSION
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/OrderKind.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/OrderKind.java
@@ -1,15 +1,15 @@
 package org.whinwharf.order;
 
 /**
- * What an order asks an engine for. Each kind says how the engine is to be, not how to change, so that carrying an
- * order out twice does no more than once.
+ * Kind of an order to an engine. Every kind names the state that the engine must reach and not a change, so that orders
+ * are idempotent. Logs and metrics write the names of these constants in lower case.
  */
 public enum OrderKind {
-    /** Takes another role. */
+    /** Changes the role of the engine. */
     ROLE(false),
-    /** Drops a model that the document does not want. */
+    /** Unloads a model that the document does not ask for. */
     UNLOAD(false),
-    /** Has a model in a version with its adapters. */
+    /** Loads a model in a given version, with its adapters. */
     LOAD(true);
 
     private final boolean readsWeights;
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Tells whether the engine reads the weight store to carry the order out.
+     * Tells whether the engine reads from the weight store to execute the order.
      *
-     * @return true when the order needs a turn at the weight store
+     * @return true when the order counts against the rate limit of the weight store
      */
     public boolean readsWeights() {
         return readsWeights;
--- a/org.whinwharf/src/main/java/org/whinwharf/order/OrderOutcome.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/OrderOutcome.java
@@ -1,15 +1,15 @@
 package org.whinwharf.order;
 
-/** What became of an order that was sent. */
+/** Outcome of an order. Metrics and spans write the names of these constants. */
 public enum OrderOutcome {
-    /** The engine accepted it. */
+    /** The engine accepted the order. */
     ACCEPTED,
-    /** The engine has seen a higher fencing number. */
+    /** The engine rejected the order because it has seen a higher fencing number. */
     FENCED,
-    /** The engine refused it for another reason. */
+    /** The engine rejected the order for another reason. */
     REFUSED,
-    /** No answer came; the engine may have accepted it or may yet. */
+    /** No response arrived. The engine may have accepted the order or may still accept it. */
     UNKNOWN,
-    /** It was not sent, because it was too late for it. */
+    /** The order was not sent, because a check just before sending failed; see {@link WithholdReason}. */
     WITHHELD
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/OrderStep.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/OrderStep.java
@@ -5,19 +5,19 @@
 import org.whinwharf.wire.schema.Model;
 
 /**
- * One step that brings an engine nearer to what the document wants.
+ * One step from the current state of an engine to its desired state.
  *
- * @param kind what it asks for
- * @param name model, or role
+ * @param kind kind of the order
+ * @param name name of the model, or the role
  * @param version version of the model; empty for other kinds than loads
  * @param adapters adapters of the model; empty for other kinds than loads
  */
 public record OrderStep(OrderKind kind, String name, String version, List<String> adapters) {
     /**
-     * Copies the adapters.
+     * Creates a step. Copies the list of adapters.
      *
-     * @param kind what it asks for
-     * @param name model, or role
+     * @param kind kind of the order
+     * @param name name of the model, or the role
      * @param version version of the model; empty for other kinds than loads
      * @param adapters adapters of the model; empty for other kinds than loads
      */
@@ -26,41 +26,41 @@
     }
 
     /**
-     * Makes a step that loads a model.
+     * Creates a step that loads a model.
      *
-     * @param model the model
-     * @return a step
+     * @param model model with version and adapters
+     * @return step of kind {@link OrderKind#LOAD}
      */
     public static OrderStep load(Model model) {
         return new OrderStep(OrderKind.LOAD, model.getName(), model.getVersion(), model.getAdaptersList());
     }
 
     /**
-     * Makes a step that drops a model.
+     * Creates a step that unloads a model.
      *
      * @param model name of the model
-     * @return a step
+     * @return step of kind {@link OrderKind#UNLOAD}
      */
     public static OrderStep unload(String model) {
         return new OrderStep(OrderKind.UNLOAD, model, "", List.of());
     }
 
     /**
-     * Makes a step that changes the role.
+     * Creates a step that changes the role.
      *
-     * @param role the role
-     * @return a step
+     * @param role new role
+     * @return step of kind {@link OrderKind#ROLE}
      */
     public static OrderStep role(String role) {
         return new OrderStep(OrderKind.ROLE, role, "", List.of());
     }
 
     /**
-     * Writes the step as an order.
+     * Converts the step to the order message that is sent to the engine.
      *
-     * @param fencingNumber number that the order carries
-     * @param weightStoreUrl where the engine loads from
-     * @return the order
+     * @param fencingNumber fencing number of the order
+     * @param weightStoreUrl URL from which the engine loads weights; only loads carry it
+     * @return order message
      */
     public EngineOrder toOrder(long fencingNumber, String weightStoreUrl) {
         EngineOrder.Builder order = EngineOrder.newBuilder().setFencingNumber(fencingNumber);
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Describes the step to people.
+     * Describes the step for logs, traces and the status page.
      *
      * @return text such as {@code load lampa 2 [fr]}
      */
--- a/org.whinwharf/src/main/java/org/whinwharf/order/PlannedOrder.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/PlannedOrder.java
@@ -3,12 +3,13 @@
 import org.whinwharf.wire.schema.Host;
 
 /**
- * An order that was decided and is to be sent, if it may still be sent then.
+ * An order that the steward has decided on but not sent. It is checked again just before sending; see
+ * {@link StewardCore#withholdReason}.
  *
- * @param target the engine
- * @param step what it asks for
- * @param fencingNumber revision of the host list by which it was decided
- * @param generation generation of the document by which it was decided
- * @param plannedAtMillis monotonic clock at the decision
+ * @param target host entry of the engine
+ * @param step step that the order asks for
+ * @param fencingNumber fencing number: the revision of the host list that the decision is based on
+ * @param generation generation of the document that the decision is based on
+ * @param plannedAtMillis time of the decision, on the monotonic clock
  */
 public record PlannedOrder(Host target, OrderStep step, long fencingNumber, long generation, long plannedAtMillis) {}
--- a/org.whinwharf/src/main/java/org/whinwharf/order/StewardAction.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/StewardAction.java
@@ -2,19 +2,19 @@
 
 import org.whinwharf.wire.schema.Host;
 
-/** What a steward has its surroundings do. */
+/** An action that {@link StewardCore} asks its caller to execute. */
 public sealed interface StewardAction {
     /**
      * Reads the state of an engine.
      *
-     * @param target the engine
+     * @param target host entry of the engine
      */
     record ReadState(Host target) implements StewardAction {}
 
     /**
-     * Sends an order, after {@link StewardCore#withholdReason} was asked again.
+     * Sends an order, unless {@link StewardCore#withholdReason} returns a reason just before sending.
      *
-     * @param order the order
+     * @param order order to send
      */
     record SendOrder(PlannedOrder order) implements StewardAction {}
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/StewardCore.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/StewardCore.java
@@ -22,20 +22,20 @@
 import org.whinwharf.wire.status.EngineStatus;
 
 /**
- * Decides what one steward reads and orders.
+ * Decides which engines a steward reads and which orders it sends.
  *
- * <p>Stewards do not talk to each other. Two that hold different lists both take themselves for the steward of a
- * target: where the engine checks fencing numbers, the one with the later list wins, since its number is higher. Where
- * the engine ignores them, the later one waits until the earlier one has certainly stopped: the earlier one orders only
- * while its list is fresh by its own clock.
+ * <p>Stewards do not communicate, and two stewards with different host lists can both act for one target. Where the
+ * engine checks fencing numbers, the steward with the later list prevails because its number is higher. Where the
+ * engine ignores them, the new steward waits until its predecessor has certainly stopped: a steward sends orders only
+ * while its host list is fresh on its own monotonic clock.
  *
- * <p>Holds no clock, socket or thread. Not safe for use by several threads.
+ * <p>Uses no clock, socket or thread of its localEngines. Not thread-safe.
  */
 public final class StewardCore {
-    /** Longest time from a decision to the sending of its order. */
+    /** Longest time between the decision on an order and its sending. */
     public static final long MAX_SEND_DELAY_MILLIS = 500;
 
-    private final String selfHost;
+    private final String localHost;
     private final long orderTimeoutMillis;
     private final WeightStoreRateLimiter loadRateLimiter;
     private final Tenure tenure = new Tenure();
@@ -44,48 +44,50 @@
     private DocumentView document;
 
     /**
-     * Makes a steward that knows nothing.
+     * Creates a steward without host list and document, which plans no actions.
      *
-     * @param selfHost name of this host
-     * @param orderMillis longest that an order may take
-     * @param loadsPerSecond loads that the weight store bears a second, over the whole fleet
+     * @param localHost name of this host
+     * @param orderTimeoutMillis longest time that an order takes
+     * @param loadsPerSecond loads per second that the weight store supports, over the whole fleet
      */
-    public StewardCore(String selfHost, long orderMillis, double loadsPerSecond) {
-        this.selfHost = selfHost;
-        this.orderTimeoutMillis = orderMillis;
+    public StewardCore(String localHost, long orderTimeoutMillis, double loadsPerSecond) {
+        this.localHost = localHost;
+        this.orderTimeoutMillis = orderTimeoutMillis;
         this.loadRateLimiter = new WeightStoreRateLimiter(loadsPerSecond);
     }
 
     /**
-     * Takes another host list or document.
+     * Updates the host list and the document. Ignores a host list with a lower revision than the current one, together
+     * with its document.
      *
-     * @param newMembership hosts
+     * @param newMembership view of the host list
      * @param newDocument document in force
-     * @param nowMillis monotonic clock
+     * @param nowMillis current time, on the monotonic clock
      */
     public void update(Membership newMembership, DocumentView newDocument, long nowMillis) {
         if (membership != null && newMembership.revision() < membership.revision()) {
-            // The fencing number must not fall, or an engine that checks it would refuse every order from here.
+            // The fencing number must not decrease, because an engine that checks it would reject every order of this
+            // steward.
             return;
         }
         membership = newMembership;
         document = newDocument;
-        List<String> all = new ArrayList<>();
-        Map<String, Host> own = new HashMap<>();
+        List<String> allEngines = new ArrayList<>();
+        Map<String, Host> localEngines = new HashMap<>();
         for (Host target : engineHosts()) {
-            all.add(target.getName());
+            allEngines.add(target.getName());
             if (isAssignedToThisHost(target)) {
-                own.put(target.getName(), target);
+                localEngines.put(target.getName(), target);
             }
         }
-        engines.keySet().retainAll(own.keySet());
-        own.forEach(this::addOrUpdateEngine);
-        tenure.update(membership.revision(), own.keySet(), nowMillis);
-        loadRateLimiter.updateTargets(all, own.keySet(), nowMillis);
+        engines.keySet().retainAll(localEngines.keySet());
+        localEngines.forEach(this::addOrUpdateEngine);
+        tenure.update(membership.revision(), localEngines.keySet(), nowMillis);
+        loadRateLimiter.updateTargets(allEngines, localEngines.keySet(), nowMillis);
     }
 
     /**
-     * Returns the revision that the decisions are based on.
+     * Returns the revision of the host list that decisions are based on. Orders carry it as their fencing number.
      *
      * @return revision of the host list; 0 before the first one
      */
@@ -94,52 +96,52 @@
     }
 
     /**
-     * Takes a reading of an engine.
+     * Records the state that was read from an engine. Ignored when this process is no longer its steward.
      *
      * @param target name of the engine
-     * @param state its state
-     * @param nowMillis monotonic clock
+     * @param state state of the engine
+     * @param nowMillis current time, on the monotonic clock
      */
     public void stateRead(String target, EngineState state, long nowMillis) {
         findEngine(target).ifPresent(engine -> engine.stateRead(state, nowMillis));
     }
 
     /**
-     * Takes the failure of a reading.
+     * Records that an engine could not be read. Ignored when this process is no longer its steward.
      *
      * @param target name of the engine
-     * @param reason why, in words
+     * @param reason description of the failure
      */
     public void readFailed(String target, String reason) {
         findEngine(target).ifPresent(engine -> engine.readFailed(reason));
     }
 
     /**
-     * Takes what became of an order.
+     * Records the outcome of an order. Ignored when this process is no longer the engine's steward.
      *
      * @param target name of the engine
-     * @param outcome what became of it
-     * @param nowMillis monotonic clock
+     * @param outcome outcome of the order
+     * @param nowMillis current time, on the monotonic clock
      */
     public void orderFinished(String target, OrderOutcome outcome, long nowMillis) {
         findEngine(target).ifPresent(engine -> engine.orderFinished(outcome, nowMillis, orderTimeoutMillis));
     }
 
     /**
-     * Decides what to do now.
+     * Returns the actions that are due now. Plans orders only while the host list is fresh.
      *
-     * @param nowMillis monotonic clock
-     * @param unixMillis wall clock; it only places turns at the weight store
-     * @param listHeardAtMillis monotonic clock when the list of {@link #revision} was last confirmed; empty when it is
-     *     not in force any more
-     * @return readings and orders
+     * @param nowMillis current time, on the monotonic clock
+     * @param unixMillis current time, on the wall clock; used only to place the time slots of the weight store
+     * @param listConfirmedAtMillis time at which the list of {@link #revision} was last confirmed, on the monotonic
+     *     clock; empty when that list is no longer in force
+     * @return orders and reads to execute
      */
-    public List<StewardAction> tick(long nowMillis, long unixMillis, OptionalLong listHeardAtMillis) {
+    public List<StewardAction> tick(long nowMillis, long unixMillis, OptionalLong listConfirmedAtMillis) {
         List<StewardAction> actions = new ArrayList<>();
         if (membership == null) {
             return actions;
         }
-        if (isListFresh(nowMillis, listHeardAtMillis)) {
+        if (isListFresh(nowMillis, listConfirmedAtMillis)) {
             planOrders(nowMillis, unixMillis, actions);
         }
         for (EngineTracker engine : engines.values()) {
@@ -151,24 +153,24 @@
     }
 
     /**
-     * Tells right before the sending whether an order may still be sent.
+     * Checks just before sending whether an order may still be sent.
      *
-     * <p>The process may have been paused since the decision. When it wakes it still believes what it decided; only its
-     * own clock tells that others have gone on.
+     * <p>The process may have been paused between the decision and the sending, while another steward took over. After
+     * the pause only the process's own clock shows that its decision is outdated.
      *
-     * @param order the order
-     * @param nowMillis monotonic clock, read for this call
-     * @param listHeardAtMillis monotonic clock when the list of the order's fencing number was last confirmed; empty
-     *     when it is not in force any more
+     * @param order planned order
+     * @param nowMillis current time, on the monotonic clock, read for this call
+     * @param listConfirmedAtMillis time at which the list of the order's fencing number was last confirmed, on the
+     *     monotonic clock; empty when that list is no longer in force
      * @param generationInForce generation of the document in force, read for this call
-     * @return why not; empty when it may be sent
+     * @return reason to withhold the order; empty when it may be sent
      */
     public Optional<WithholdReason> withholdReason(
-            PlannedOrder order, long nowMillis, OptionalLong listHeardAtMillis, long generationInForce) {
+            PlannedOrder order, long nowMillis, OptionalLong listConfirmedAtMillis, long generationInForce) {
         if (nowMillis - order.plannedAtMillis() > MAX_SEND_DELAY_MILLIS) {
             return Optional.of(WithholdReason.TOO_LATE);
         }
-        if (!isListFresh(nowMillis, listHeardAtMillis)) {
+        if (!isListFresh(nowMillis, listConfirmedAtMillis)) {
             return Optional.of(WithholdReason.LIST_STALE);
         }
         if (order.fencingNumber() != membership.revision()) {
@@ -180,9 +182,9 @@
     }
 
     /**
-     * Describes the engines of this steward to operators.
+     * Returns the status of this steward's engines for the status page and metrics.
      *
-     * @return one entry for each
+     * @return one entry per engine, sorted by name
      */
     public List<EngineStatus> status() {
         return engines.values().stream().map(this::status).toList();
@@ -199,25 +201,25 @@
     }
 
     private void planOrders(long nowMillis, long unixMillis, List<StewardAction> actions) {
-        List<EngineTracker> loads = new ArrayList<>();
+        List<EngineTracker> enginesToLoad = new ArrayList<>();
         for (EngineTracker engine : engines.values()) {
             if (!mayOrder(engine, nowMillis)) {
                 continue;
             }
             Optional<OrderStep> step = engine.nextStep(membership.revision(), nowMillis);
             if (step.isPresent() && step.get().kind().readsWeights()) {
-                loads.add(engine);
+                enginesToLoad.add(engine);
             } else {
                 step.ifPresent(each -> actions.add(planOrder(engine, each, nowMillis)));
             }
         }
-        loads.sort(this::comparePriority);
-        for (EngineTracker neediest : loads) {
+        enginesToLoad.sort(this::comparePriority);
+        for (EngineTracker engine : enginesToLoad) {
             if (!loadRateLimiter.tryAcquire(nowMillis, unixMillis)) {
                 return;
             }
-            neediest.nextStep(membership.revision(), nowMillis)
-                    .ifPresent(step -> actions.add(planOrder(neediest, step, nowMillis)));
+            engine.nextStep(membership.revision(), nowMillis)
+                    .ifPresent(step -> actions.add(planOrder(engine, step, nowMillis)));
         }
     }
 
@@ -230,12 +232,12 @@
 
     private boolean mayOrder(EngineTracker engine, long nowMillis) {
         Host target = engine.target();
-        boolean checks = document.service(target.getTarget().getService())
+        boolean checksFencing = document.service(target.getTarget().getService())
                 .map(ServiceSpec::getChecksFencing)
                 .orElse(false);
-        long takeoverMillis =
+        long takeoverDelayMillis =
                 TakeoverTiming.of(document.timing(), orderTimeoutMillis).takeoverDelayMillis();
-        return checks || tenure.durationMillis(target.getName(), nowMillis) >= takeoverMillis;
+        return checksFencing || tenure.durationMillis(target.getName(), nowMillis) >= takeoverDelayMillis;
     }
 
     private int comparePriority(EngineTracker one, EngineTracker other) {
@@ -246,9 +248,9 @@
                 .compare(one, other);
     }
 
-    private boolean isListFresh(long nowMillis, OptionalLong listHeardAtMillis) {
-        return listHeardAtMillis.isPresent()
-                && nowMillis - listHeardAtMillis.getAsLong() <= TakeoverTiming.MAX_LIST_AGE_MILLIS;
+    private boolean isListFresh(long nowMillis, OptionalLong listConfirmedAtMillis) {
+        return listConfirmedAtMillis.isPresent()
+                && nowMillis - listConfirmedAtMillis.getAsLong() <= TakeoverTiming.MAX_LIST_AGE_MILLIS;
     }
 
     private Set<Host> engineHosts() {
@@ -267,7 +269,7 @@
         return target.getState() == HostState.LIVE
                 && DesiredEngineState.of(document, target).isPresent()
                 && StewardSelector.stewardOf(target, membership)
-                        .filter(host -> host.getName().equals(selfHost))
+                        .filter(host -> host.getName().equals(localHost))
                         .isPresent();
     }
 
--- a/org.whinwharf/src/main/java/org/whinwharf/order/StewardSelector.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/StewardSelector.java
@@ -7,17 +7,17 @@
 import org.whinwharf.membership.Membership;
 import org.whinwharf.wire.schema.Host;
 
-/** Chooses the steward of each target from the host list alone. */
+/** Selects the steward of each target from the host list alone, so that hosts need no agreement. */
 public final class StewardSelector {
     private StewardSelector() {}
 
     /**
-     * Chooses the steward of a target: a live host that runs a steward, in the target's data centre where there is one,
-     * by rendezvous hashing.
+     * Selects the steward of a target by rendezvous hashing over the live hosts that run a steward. Hosts in the
+     * target's data centre are preferred.
      *
-     * @param target the target
-     * @param membership hosts
-     * @return the steward's host; empty when no host runs one
+     * @param target host entry of the target
+     * @param membership view of the host list
+     * @return host of the steward; empty when no live host runs a steward
      */
     public static Optional<Host> stewardOf(Host target, Membership membership) {
         return membership.entryHosts().stream()
--- a/org.whinwharf/src/main/java/org/whinwharf/order/TakeoverTiming.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/TakeoverTiming.java
@@ -3,39 +3,41 @@
 import org.whinwharf.wire.schema.Timing;
 
 /**
- * Times that bound what an earlier steward can still do.
+ * Time limits from which a new steward computes how long the orders of its predecessor can still take effect.
  *
- * @param maxListAgeMillis longest age of the host list at which a steward orders, by its own clock
- * @param orderTimeoutMillis longest that an order may take from its decision to its end
- * @param listLagMillis longest time from the publication of a host list until everyone who asks gets it
- * @param clockRatePpm most that the clocks of two hosts differ in rate, parts per million
+ * @param maxListAgeMillis longest time since the last confirmation of the host list during which a steward sends
+ *     orders, on its own monotonic clock
+ * @param orderTimeoutMillis longest time that an order takes from the decision to its end
+ * @param listLagMillis longest time from the publication of a host list until every query returns it
+ * @param clockRatePpm largest difference in rate between the clocks of two hosts, in parts per million
  */
 public record TakeoverTiming(long maxListAgeMillis, long orderTimeoutMillis, long listLagMillis, int clockRatePpm) {
-    /** Age at which a steward stops to order. */
+    /** Time since the last confirmation of the host list after which a steward sends no more orders. */
     public static final long MAX_LIST_AGE_MILLIS = 6_000;
 
     private static final double PARTS_PER_MILLION = 1_000_000.0;
 
     /**
-     * Makes bounds from the document.
+     * Creates the limits from the document's timing.
      *
-     * @param timing timing of the document
-     * @param orderTimeoutMillis longest that an order may take
-     * @return bounds
+     * @param timing timing section of the document
+     * @param orderTimeoutMillis longest time that an order takes
+     * @return limits
      */
-    public static TakeoverTiming of(Timing timing, long orderMillis) {
+    public static TakeoverTiming of(Timing timing, long orderTimeoutMillis) {
         return new TakeoverTiming(
-                MAX_LIST_AGE_MILLIS, orderMillis, timing.getListLagMillis(), timing.getClockRatePpm());
+                MAX_LIST_AGE_MILLIS, orderTimeoutMillis, timing.getListLagMillis(), timing.getClockRatePpm());
     }
 
     /**
-     * Returns how long a new steward waits until the earlier one has certainly sent its last order and that order has
-     * ended.
+     * Returns how long a new steward waits before its first order, so that the last order of its predecessor has
+     * certainly ended.
      *
-     * <p>The earlier one may get the old list until the lag has passed, order until that is too old, and its last order
-     * may take its full time.
+     * <p>The predecessor may read the old list until the list lag has passed, may send orders until that list is stale,
+     * and its last order may take the whole order timeout. The sum is extended by twice the largest clock rate
+     * difference.
      *
-     * @return milliseconds by the new steward's clock
+     * @return delay in milliseconds, on the new steward's monotonic clock
      */
     public long takeoverDelayMillis() {
         long sumMillis = listLagMillis + maxListAgeMillis + orderTimeoutMillis;
--- a/org.whinwharf/src/main/java/org/whinwharf/order/WithholdReason.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/WithholdReason.java
@@ -1,13 +1,13 @@
 package org.whinwharf.order;
 
-/** Why an order that was decided is not sent. */
+/** Reason why a planned order is not sent. Logs and metrics write the names of these constants in lower case. */
 public enum WithholdReason {
-    /** The host list has not been heard of for too long. */
+    /** The host list is no longer in force, or was not confirmed within {@link TakeoverTiming#MAX_LIST_AGE_MILLIS}. */
     LIST_STALE,
-    /** Another host list is in force than the one by which the order was decided. */
+    /** The order was planned under another revision of the host list than the current one. */
     LIST_CHANGED,
-    /** Another document is in force than the one by which the order was decided. */
+    /** The order was planned under another generation of the document than the current one. */
     DOCUMENT_CHANGED,
-    /** Too much time has passed since the decision. */
+    /** More than {@link StewardCore#MAX_SEND_DELAY_MILLIS} have passed since the decision. */
     TOO_LATE
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/internal/EngineTracker.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/internal/EngineTracker.java
@@ -10,12 +10,15 @@
 import org.whinwharf.wire.schema.EngineState;
 import org.whinwharf.wire.schema.Host;
 
-/** What a steward knows of one engine, and what it waits for. */
+/**
+ * State that a steward keeps of one engine: its last stateIsRecent state, the reads and orders in flight, and the
+ * backoff.
+ */
 public final class EngineTracker {
-    /** Time between two readings of an engine that is as it should be. */
+    /** Interval between two reads of an engine that is in its desired state. */
     public static final long IDLE_POLL_INTERVAL_MILLIS = 5_000;
 
-    /** Time between two readings of any other engine. */
+    /** Interval between two reads of any other engine. */
     public static final long ACTIVE_POLL_INTERVAL_MILLIS = 1_000;
 
     private static final long MAX_STATE_AGE_MILLIS = 2 * ACTIVE_POLL_INTERVAL_MILLIS;
@@ -37,49 +40,50 @@
     private String readError = "";
 
     /**
-     * Begins to watch an engine.
+     * Creates a tracker for an engine that was not read yet.
      *
-     * @param target the engine
+     * @param target host entry of the engine
      */
     public EngineTracker(Host target) {
         this.target = target;
     }
 
     /**
-     * Takes what the lists now say.
+     * Updates the engine after a change of the host list or the document.
      *
-     * @param newTarget the engine as the host list has it
-     * @param newGoal what the document wants
+     * @param newTarget host entry of the engine
+     * @param newDesiredState state that the document asks for
      */
-    public void update(Host newTarget, DesiredEngineState newGoal) {
+    public void update(Host newTarget, DesiredEngineState newDesiredState) {
         target = newTarget;
-        desiredState = newGoal;
+        desiredState = newDesiredState;
     }
 
     /**
-     * Takes a reading.
+     * Records the result of a successful read.
      *
-     * @param read state of the engine
-     * @param nowMillis monotonic clock
+     * @param newState state of the engine
+     * @param nowMillis current time, on the monotonic clock
      */
-    public void stateRead(EngineState read, long nowMillis) {
+    public void stateRead(EngineState newState, long nowMillis) {
         readInFlight = false;
         readError = "";
-        if (state != null && state.getStartNumber() != read.getStartNumber()) {
-            // A new start of the engine knows nothing of what was ordered before.
+        if (state != null && state.getStartNumber() != newState.getStartNumber()) {
+            // The engine has restarted and lost the effect of earlier orders, so the backoff for them ends.
             repeatCount = 0;
             notBeforeMillis = Long.MIN_VALUE;
         }
-        state = read;
-        // Counted from the question: a process that slept over the answer must not take it for new.
+        state = newState;
+        // The age counts from the request: a process that was paused before it handled the response must not take the
+        // state for a recent one.
         stateAtMillis = Math.min(readRequestedAtMillis, nowMillis);
-        minFencingNumber = Math.max(minFencingNumber, read.getFencingNumber());
+        minFencingNumber = Math.max(minFencingNumber, newState.getFencingNumber());
     }
 
     /**
-     * Takes the failure of a reading.
+     * Records a failed read. The state of the engine becomes unknown.
      *
-     * @param reason why, in words
+     * @param reason description of the failure
      */
     public void readFailed(String reason) {
         readInFlight = false;
@@ -88,16 +92,16 @@
     }
 
     /**
-     * Takes what became of the order that was sent.
+     * Records the outcome of the order in flight, and makes the engine due for a read.
      *
-     * @param outcome what became of it
-     * @param nowMillis monotonic clock
-     * @param orderMillis longest that an order may take
+     * @param outcome outcome of the order
+     * @param nowMillis current time, on the monotonic clock
+     * @param orderTimeoutMillis longest time that an order takes
      */
-    public void orderFinished(OrderOutcome outcome, long nowMillis, long orderMillis) {
+    public void orderFinished(OrderOutcome outcome, long nowMillis, long orderTimeoutMillis) {
         PlannedOrder order = orderInFlight;
         orderInFlight = null;
-        // Whatever the answer said, what counts is what the engine now is.
+        // The next decision requires a new read, since only the state of the engine shows the effect of the order.
         state = null;
         readRequestedAtMillis = Long.MIN_VALUE;
         if (order == null || outcome == OrderOutcome.WITHHELD) {
@@ -107,33 +111,33 @@
             minFencingNumber = Math.max(minFencingNumber, order.fencingNumber() + 1);
         }
         if (outcome == OrderOutcome.UNKNOWN) {
-            // The order may still arrive; nothing else is ordered until that is over.
-            notBeforeMillis = Math.max(notBeforeMillis, order.plannedAtMillis() + orderMillis);
+            // The order may still reach the engine, so no other order is sent before its timeout has passed.
+            notBeforeMillis = Math.max(notBeforeMillis, order.plannedAtMillis() + orderTimeoutMillis);
         }
         applyBackoff(order.step(), nowMillis);
     }
 
     /**
-     * Notes that an order goes out.
+     * Records that an order is planned and now in flight.
      *
-     * @param order the order
+     * @param order planned order
      */
     public void orderPlanned(PlannedOrder order) {
         orderInFlight = order;
     }
 
     /**
-     * Tells whether the engine is due to be read, and notes that it is.
+     * Tells whether the engine is due for a read, and if so marks the read as in flight.
      *
-     * @param nowMillis monotonic clock
-     * @return true when it is to be read now
+     * @param nowMillis current time, on the monotonic clock
+     * @return true when the caller must read the engine now
      */
     public boolean startReadIfDue(long nowMillis) {
-        long pollMillis = isConverged() ? IDLE_POLL_INTERVAL_MILLIS : ACTIVE_POLL_INTERVAL_MILLIS;
-        boolean asked = readRequestedAtMillis != Long.MIN_VALUE;
-        long sinceMillis = asked ? nowMillis - readRequestedAtMillis : Long.MAX_VALUE;
-        boolean waits = readInFlight && sinceMillis < READ_TIMEOUT_MILLIS;
-        if (orderInFlight != null || waits || sinceMillis < pollMillis) {
+        long pollIntervalMillis = isConverged() ? IDLE_POLL_INTERVAL_MILLIS : ACTIVE_POLL_INTERVAL_MILLIS;
+        boolean requested = readRequestedAtMillis != Long.MIN_VALUE;
+        long elapsedMillis = requested ? nowMillis - readRequestedAtMillis : Long.MAX_VALUE;
+        boolean awaitsResponse = readInFlight && elapsedMillis < READ_TIMEOUT_MILLIS;
+        if (orderInFlight != null || awaitsResponse || elapsedMillis < pollIntervalMillis) {
             return false;
         }
         readInFlight = true;
@@ -142,62 +146,63 @@
     }
 
     /**
-     * Finds the next step, if the engine may be ordered anything now.
+     * Returns the next step, provided that an order may be sent to the engine now.
      *
-     * @param fencingNumber number that the order would carry
-     * @param nowMillis monotonic clock
-     * @return step; empty when there is none or it must wait
+     * @param fencingNumber fencing number that the order would carry
+     * @param nowMillis current time, on the monotonic clock
+     * @return step; empty when no step is missing, the state is unknown or outdated, the engine is loading or in
+     *     backoff, an order is in flight, or the engine knows a higher fencing number
      */
     public Optional<OrderStep> nextStep(long fencingNumber, long nowMillis) {
-        boolean known = state != null && !readInFlight && nowMillis - stateAtMillis <= MAX_STATE_AGE_MILLIS;
-        if (!known || state.getLoading() || orderInFlight != null) {
+        boolean stateIsRecent = state != null && !readInFlight && nowMillis - stateAtMillis <= MAX_STATE_AGE_MILLIS;
+        if (!stateIsRecent || state.getLoading() || orderInFlight != null) {
             return Optional.empty();
         }
-        boolean early = nowMillis < notBeforeMillis;
-        if (early || fencingNumber < minFencingNumber) {
+        boolean inBackoff = nowMillis < notBeforeMillis;
+        if (inBackoff || fencingNumber < minFencingNumber) {
             return Optional.empty();
         }
         return missingSteps().stream().findFirst();
     }
 
     /**
-     * Returns what the engine still lacks.
+     * Returns the steps that are missing to reach the desired state.
      *
-     * @return steps; empty when there is none or the engine was not read
+     * @return steps; empty when none is missing or the state of the engine is unknown
      */
     public List<OrderStep> missingSteps() {
         return state == null || desiredState == null ? List.of() : desiredState.missingSteps(state);
     }
 
     /**
-     * Returns how much the engine needs a load.
+     * Returns the priority of the engine's next load.
      *
-     * @return need
+     * @return priority; the highest when the state of the engine is unknown
      */
     public LoadPriority loadPriority() {
         return state == null ? LoadPriority.SERVES_NOTHING : desiredState.loadPriority(state);
     }
 
     /**
-     * Tells whether the engine is as the document wants it.
+     * Tells whether the engine is in its desired state.
      *
-     * @return false also when it was not read
+     * @return true when no step is missing and no load is running; false also when the state of the engine is unknown
      */
     public boolean isConverged() {
         return state != null && !state.getLoading() && missingSteps().isEmpty();
     }
 
     /**
-     * Returns the engine.
+     * Returns the host entry of the engine.
      *
-     * @return the engine as the host list has it
+     * @return entry in the current host list
      */
     public Host target() {
         return target;
     }
 
     /**
-     * Names the state for operators.
+     * Returns the name of the state for the status page and metrics.
      *
      * @return {@code in-step}, {@code ordered}, {@code waiting} or {@code unreachable}
      */
@@ -215,9 +220,10 @@
         repeatCount = step.equals(lastStep) ? repeatCount + 1 : 0;
         lastStep = step;
         if (repeatCount > 0) {
-            // An engine that accepts an order and does not follow it must not wear the weight store out.
-            long pauseMillis = BASE_BACKOFF_MILLIS << Math.min(repeatCount, MAX_BACKOFF_DOUBLINGS);
-            notBeforeMillis = Math.max(notBeforeMillis, nowMillis + pauseMillis);
+            // Exponential backoff keeps an engine that accepts an order without executing it from overloading the
+            // weight store.
+            long backoffMillis = BASE_BACKOFF_MILLIS << Math.min(repeatCount, MAX_BACKOFF_DOUBLINGS);
+            notBeforeMillis = Math.max(notBeforeMillis, nowMillis + backoffMillis);
         }
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/internal/Tenure.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/internal/Tenure.java
@@ -6,25 +6,25 @@
 import java.util.Set;
 
 /**
- * Since when this process has been the steward of each target without a gap.
+ * Tracks since when this process has been the steward of each target without interruption.
  *
- * <p>Where revisions were skipped, another host may have been the steward under one of them, and its last order may
- * still be on its way. So a gap counts as a change of stewards.
+ * <p>A gap in the revisions of the host list restarts the time of every target: under a skipped revision another host
+ * may have been the steward, and its last order may still be in flight.
  */
 public final class Tenure {
     private final Map<String, Long> startMillis = new HashMap<>();
     private long revision;
 
     /**
-     * Takes another host list.
+     * Updates the targets from a new host list.
      *
-     * @param newRevision its revision
-     * @param targets names of the targets whose steward this process is
-     * @param nowMillis monotonic clock when the list was heard of
+     * @param newRevision revision of the list
+     * @param targets names of the targets whose steward is this process
+     * @param nowMillis time at which the list took effect, on the monotonic clock
      */
     public void update(long newRevision, Set<String> targets, long nowMillis) {
-        boolean gap = newRevision > revision + 1;
-        if (gap) {
+        boolean hasGap = newRevision > revision + 1;
+        if (hasGap) {
             startMillis.clear();
         }
         startMillis.keySet().retainAll(new HashSet<>(targets));
@@ -33,14 +33,14 @@
     }
 
     /**
-     * Returns how long this process has been the steward.
+     * Returns how long this process has been the steward of a target.
      *
      * @param target name of the target
-     * @param nowMillis monotonic clock
-     * @return milliseconds; -1 when it is not the steward
+     * @param nowMillis current time, on the monotonic clock
+     * @return duration in milliseconds; -1 when this process is not the steward
      */
     public long durationMillis(String target, long nowMillis) {
-        Long since = startMillis.get(target);
-        return since == null ? -1 : nowMillis - since;
+        Long start = startMillis.get(target);
+        return start == null ? -1 : nowMillis - start;
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/internal/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Parts of the steward's decisions. */
+/** State that the steward keeps per engine and per target. */
 package org.whinwharf.order.internal;
--- a/org.whinwharf/src/main/java/org/whinwharf/order/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/package-info.java
@@ -1,6 +1,8 @@
 /**
- * Decides which orders engines get: what the document wants, who may order, and when the weight store bears a load.
+ * Decides which orders engines receive: the desired state by the document, the steward that may send orders, and the
+ * rate of loads from the weight store.
  *
- * <p>Each target has one steward by the published host list alone. Orders carry the list's revision as fencing number.
+ * <p>The published host list alone determines the one steward of each target. Orders carry the revision of the list as
+ * their fencing number.
  */
 package org.whinwharf.order;
