--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/Main.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/Main.java
@@ -7,9 +7,9 @@
     private Main() {}
 
     /**
-     * Runs the steward until it is told to stop.
+     * Runs the steward until the process is asked to stop.
      *
-     * @param arguments the command line
+     * @param arguments command-line arguments
      */
     public static void main(String[] arguments) {
         DaemonCommand.main(StewardCommand.class, arguments);
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/StewardCommand.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/StewardCommand.java
@@ -6,7 +6,7 @@
 import org.whinwharf.wire.schema.NodeSettings;
 import org.whinwharf.wire.schema.StewardSettings;
 
-/** Command line of the steward. */
+/** Command line of {@code whinwharf-steward}. */
 @Command(name = "whinwharf-steward", description = "Brings model engines to what the document says")
 public final class StewardCommand extends DaemonCommand<StewardSettings> {
     @Override
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/StewardDaemon.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/StewardDaemon.java
@@ -14,7 +14,7 @@
 import org.whinwharf.wire.message.Role;
 import org.whinwharf.wire.schema.StewardSettings;
 
-/** Daemon that orders the engines whose steward this host is. */
+/** Daemon that sends orders to the engines whose steward is this host. */
 public final class StewardDaemon implements Daemon {
     private static final int RING_SIZE = 1_024;
     private static final long TICK_MILLIS = 50;
@@ -26,9 +26,9 @@
     private final Duty<Runnable> duty;
 
     /**
-     * Makes a steward. Opens no port.
+     * Creates a steward. Opens no ports before {@link #start}.
      *
-     * @param settings checked settings
+     * @param settings validated settings
      */
     public StewardDaemon(StewardSettings settings) {
         node = Node.builder()
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Returns the port of the operators' server.
+     * Returns the port of the admin server. Call it only after {@link #start}.
      *
-     * @return TCP port; call after the start
+     * @return TCP port
      */
     public int adminPort() {
         return node.adminPort();
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/ActionExecutor.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/ActionExecutor.java
@@ -21,7 +21,11 @@
 import org.whinwharf.wire.schema.StewardSettings;
 import org.whinwharf.wire.status.EngineStatus;
 
-/** Carries out what the steward's decisions say. All methods but {@link #status} are called by one thread. */
+/**
+ * Executes the actions that {@link StewardCore} decides on: reads engines and sends orders.
+ *
+ * <p>All methods except {@link #status} must be called by one thread.
+ */
 public final class ActionExecutor {
     private final Node node;
     private final EngineClient engines;
@@ -34,33 +38,37 @@
     private volatile List<EngineStatus> status = List.of();
 
     /**
-     * Makes a desk.
+     * Creates an executor.
      *
      * @param settings settings of the steward
-     * @param node what the process knows
+     * @param node source of the host list and the document
      * @param engines client of the engines
-     * @param metrics counters
-     * @param duty runs answers on the thread that calls this desk
+     * @param metrics metrics of the steward
+     * @param callbackExecutor runs callbacks of the client on the thread that calls this class
      */
     public ActionExecutor(
-            StewardSettings settings, Node node, EngineClient engines, StewardMetrics metrics, Executor duty) {
+            StewardSettings settings,
+            Node node,
+            EngineClient engines,
+            StewardMetrics metrics,
+            Executor callbackExecutor) {
         this.node = node;
         this.engines = engines;
         this.metrics = metrics;
-        this.callbackExecutor = duty;
+        this.callbackExecutor = callbackExecutor;
         weightStoreUrl = settings.getWeightStoreUrl();
         core = new StewardCore(
                 settings.getNode().getHost(), settings.getOrderMillis(), settings.getWeightLoadsPerSecond());
     }
 
-    /** Takes another host list or document from the node. */
+    /** Updates the host list and the document from the node. */
     public void update() {
         if (node.membership().isPresent() && node.document().isPresent()) {
             core.update(node.membership().get(), node.document().get(), nowMillis());
         }
     }
 
-    /** Decides and carries out what is due. */
+    /** Executes the actions that are due, unless the steward is leaving or its node is not ready. */
     public void tick() {
         if (drained != null || !node.isReady()) {
             return;
@@ -87,9 +95,9 @@
     }
 
     /**
-     * Describes the engines of this steward.
+     * Returns the status of this steward's engines as of the last tick. Safe for use by several threads.
      *
-     * @return one entry for each; safe for use by several threads
+     * @return one entry per engine
      */
     public List<EngineStatus> status() {
         return status;
@@ -109,11 +117,12 @@
 
     private void sendOrder(PlannedOrder order) {
         String target = order.target().getName();
-        // Asked with a fresh reading of the clock, as the last thing before the sending.
-        Optional<WithholdReason> withheld = core.withholdReason(
+        // The check comes directly before sending and reads the clock anew, because the process may have been paused
+        // since the decision.
+        Optional<WithholdReason> withholdReason = core.withholdReason(
                 order, nowMillis(), listConfirmedAtMillis(order.fencingNumber()), generationInForce());
-        if (withheld.isPresent()) {
-            withholdOrder(order, withheld.get());
+        if (withholdReason.isPresent()) {
+            withholdOrder(order, withholdReason.get());
             return;
         }
         Span span = node.tracer()
@@ -125,7 +134,7 @@
         engines.sendOrder(
                 order.target(),
                 order.step().toOrder(order.fencingNumber(), weightStoreUrl),
-                answer -> callbackExecutor.execute(() -> orderFinished(order, answer, span)));
+                result -> callbackExecutor.execute(() -> orderFinished(order, result, span)));
         EventLog.event(LogEvent.ORDER_SENT)
                 .with(EventField.TARGET, target)
                 .with(EventField.FENCING_NUMBER, order.fencingNumber())
@@ -144,25 +153,25 @@
                 .call();
     }
 
-    private void orderFinished(PlannedOrder order, OrderResult answer, Span span) {
-        span.setAttribute("outcome", answer.outcome().name());
+    private void orderFinished(PlannedOrder order, OrderResult result, Span span) {
+        span.setAttribute("outcome", result.outcome().name());
         span.end();
         inFlight--;
-        core.orderFinished(order.target().getName(), answer.outcome(), nowMillis());
-        metrics.countOrder(order.step().kind(), answer.outcome());
-        logResult(order, answer);
+        core.orderFinished(order.target().getName(), result.outcome(), nowMillis());
+        metrics.countOrder(order.step().kind(), result.outcome());
+        logResult(order, result);
         completeDrainIfIdle();
     }
 
-    private static void logResult(PlannedOrder order, OrderResult answer) {
-        boolean accepted = answer.outcome() == OrderOutcome.ACCEPTED;
+    private static void logResult(PlannedOrder order, OrderResult result) {
+        boolean accepted = result.outcome() == OrderOutcome.ACCEPTED;
         EventLog line = EventLog.event(accepted ? LogEvent.ORDER_DONE : LogEvent.ORDER_FAILED)
                 .with(EventField.TARGET, order.target().getName())
                 .with(EventField.FENCING_NUMBER, order.fencingNumber())
                 .with(EventField.ORDER, order.step().describe())
-                .with(EventField.STATUS, answer.status());
+                .with(EventField.STATUS, result.status());
         if (!accepted) {
-            line.with(EventField.REASON, answer.reason());
+            line.with(EventField.REASON, result.reason());
         }
         line.call();
     }
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/EngineClient.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/EngineClient.java
@@ -21,7 +21,7 @@
 import org.whinwharf.wire.schema.Host;
 import reactor.core.publisher.Mono;
 
-/** HTTP client of engines. Answers come on network threads. */
+/** HTTP client of the engines. Callbacks run on network threads. */
 public final class EngineClient implements Service {
     private static final Duration READ_TIMEOUT = Duration.ofSeconds(3);
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
@@ -31,26 +31,26 @@
     private final Duration orderTimeout;
 
     /**
-     * Makes a client. Opens no connection.
+     * Creates a client. Opens no connections.
      *
-     * @param orderMillis longest that an order may take
+     * @param orderTimeoutMillis longest time that an order takes, in milliseconds
      */
-    public EngineClient(long orderMillis) {
+    public EngineClient(long orderTimeoutMillis) {
         DefaultHttpClientConfiguration configuration = new DefaultHttpClientConfiguration();
         configuration.setConnectTimeout(CONNECT_TIMEOUT);
-        configuration.setReadTimeout(Duration.ofMillis(Math.max(orderMillis, READ_TIMEOUT.toMillis())));
+        configuration.setReadTimeout(Duration.ofMillis(Math.max(orderTimeoutMillis, READ_TIMEOUT.toMillis())));
         configuration.setNumOfThreads(1);
-        // With a linger of 0 a closed connection drops what was not sent yet. Otherwise the system would go on sending
-        // an
-        // order that was given up, and an engine that ignores fencing numbers could carry it out much later.
+        // With a linger time of 0, closing a connection discards its unsent data. Otherwise the operating system would
+        // still send an order that has timed out, and an engine that ignores fencing numbers could execute it much
+        // later.
         configuration.setChannelOptions(Map.of(SO_LINGER, 0));
         client = HttpClient.create(null, configuration);
-        orderTimeout = Duration.ofMillis(orderMillis);
+        orderTimeout = Duration.ofMillis(orderTimeoutMillis);
     }
 
     @Override
     public void start() {
-        // Connections are opened by the first call.
+        // The client opens connections on demand.
     }
 
     @Override
@@ -77,10 +77,10 @@
     }
 
     private static OrderResult toFailedResult(Throwable failure) {
-        if (failure instanceof HttpClientResponseException answered) {
-            boolean fenced = answered.code() == HttpStatus.CONFLICT.getCode();
+        if (failure instanceof HttpClientResponseException response) {
+            boolean fenced = response.code() == HttpStatus.CONFLICT.getCode();
             OrderOutcome outcome = fenced ? OrderOutcome.FENCED : OrderOutcome.REFUSED;
-            return new OrderResult(outcome, answered.code(), reason(failure));
+            return new OrderResult(outcome, response.code(), reason(failure));
         }
         return new OrderResult(OrderOutcome.UNKNOWN, 0, reason(failure));
     }
@@ -90,7 +90,7 @@
         try {
             JsonFormat.parser().ignoringUnknownFields().merge(response.getBody().orElse(""), state);
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalArgumentException("not a state: " + e.getMessage(), e);
+            throw new IllegalArgumentException("cannot parse engine state: " + e.getMessage(), e);
         }
         return state.build();
     }
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/OrderResult.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/OrderResult.java
@@ -3,10 +3,10 @@
 import org.whinwharf.order.OrderOutcome;
 
 /**
- * Answer of an engine to an order.
+ * Result of an order that was sent to an engine.
  *
- * @param outcome what became of the order
- * @param status HTTP status; 0 when no answer came
- * @param reason why it was not accepted, in words
+ * @param outcome outcome of the order
+ * @param status HTTP status of the response; 0 when no response arrived
+ * @param reason description of the failure; empty when the order was accepted
  */
 record OrderResult(OrderOutcome outcome, int status, String reason) {}
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/StewardMetrics.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/StewardMetrics.java
@@ -10,32 +10,33 @@
 import org.whinwharf.order.WithholdReason;
 import org.whinwharf.wire.status.EngineStatus;
 
-/** Counts the steward's orders. */
+/** Metrics of the steward: engines by state, orders sent and orders withheld. */
 public final class StewardMetrics {
     private static final List<String> STATES = List.of("in-step", "ordered", "waiting", "unreachable");
 
     private final MeterRegistry registry;
 
     /**
-     * Makes metrics.
+     * Creates the metrics.
      *
-     * @param registry where they go
+     * @param registry registry that the metrics are registered with
      */
     public StewardMetrics(MeterRegistry registry) {
         this.registry = registry;
     }
 
     /**
-     * Binds how many engines are in each state.
+     * Registers one gauge per engine state with the number of engines in that state.
      *
-     * @param engines reads the engines of this steward
+     * @param engines supplies the current status of this steward's engines
      */
     public void bindEngineStates(Supplier<List<EngineStatus>> engines) {
         for (String state : STATES) {
-            Gauge.builder("whinwharf.engines", engines, each -> count(each.get(), state))
+            Gauge.builder("whinwharf.engines", engines, supplier -> count(supplier.get(), state))
                     .tag("state", state)
                     .description("engines of this steward by state")
-                    // Nothing else holds the supplier; a weak reference would read NaN after the next collection.
+                    // No other object references the supplier, so a weak reference would be cleared by the next
+                    // garbage collection and the gauge would read NaN.
                     .strongReference(true)
                     .register(registry);
         }
@@ -52,7 +53,9 @@
     }
 
     private static double count(List<EngineStatus> engines, String state) {
-        return engines.stream().filter(each -> each.getState().equals(state)).count();
+        return engines.stream()
+                .filter(status -> status.getState().equals(state))
+                .count();
     }
 
     private static String tagValue(Enum<?> value) {
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/package-info.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Sends the steward's orders and reads engines. */
+/** HTTP client, metrics and execution of the steward's orders and reads. */
 package org.whinwharf.steward.internal;
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/package-info.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/package-info.java
@@ -1,2 +1,2 @@
-/** Steward daemon: brings engines to what the document says. */
+/** Steward daemon: brings model engines to the state that the operators' document asks for. */
 package org.whinwharf.steward;
