--- a/org.whinwharf.steward.test/src/test/java/org/whinwharf/steward/FakePlatformAndEngine.java
+++ b/org.whinwharf.steward.test/src/test/java/org/whinwharf/steward/FakePlatformAndEngine.java
@@ -38,11 +38,11 @@
 import org.whinwharf.wire.schema.ServiceSpec;
 import org.whinwharf.wire.schema.Tier;
 
-/** Platform and one engine on one port, both of which a test controls. */
+/** Fake platform and engine on one port. Tests publish host lists and documents, and read the accepted orders. */
 final class FakePlatformAndEngine implements AutoCloseable {
     static final String ENVIRONMENT = "trial";
 
-    private static final String KIND = "fake-surroundings";
+    private static final String KIND = "fake-platform-and-engine";
     private static final long ORDER_TIMEOUT_SECONDS = 20;
 
     private final ApplicationContext context;
@@ -71,10 +71,10 @@
         return "http://" + server.getHost() + ":" + server.getPort();
     }
 
-    void publish(long revision, Host... listed) {
+    void publish(long revision, Host... publishedHosts) {
         hosts = HostList.newBuilder()
                 .setRevision(revision)
-                .addAllHosts(java.util.List.of(listed))
+                .addAllHosts(java.util.List.of(publishedHosts))
                 .build();
     }
 
@@ -110,7 +110,7 @@
     EngineOrder nextOrder() throws InterruptedException {
         EngineOrder order = orders.poll(ORDER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (order == null) {
-            throw new AssertionError("no order came");
+            throw new AssertionError("no order within " + ORDER_TIMEOUT_SECONDS + " s");
         }
         return order;
     }
@@ -138,7 +138,7 @@
         return true;
     }
 
-    /** Routes of the fake. */
+    /** HTTP routes of the platform and the engine. */
     @Controller
     @Requires(property = AdminServer.SERVER_PROPERTY, value = KIND)
     static final class Routes {
--- a/org.whinwharf.steward.test/src/test/java/org/whinwharf/steward/StewardDaemonTest.java
+++ b/org.whinwharf.steward.test/src/test/java/org/whinwharf/steward/StewardDaemonTest.java
@@ -21,7 +21,7 @@
 import org.whinwharf.wire.schema.StewardSettings;
 import org.whinwharf.wire.schema.TargetInfo;
 
-/** A whole steward on loopback, with a platform and an engine that a test controls. */
+/** Tests a complete steward daemon on loopback against a fake platform and engine. */
 class StewardDaemonTest {
     private static final String STEWARD_ADDRESS = "127.0.43.1";
     private static final String PLATFORM_ADDRESS = "127.0.43.9";
@@ -66,7 +66,8 @@
         }
     }
 
-    // The host of a steward is replaced. Its successor is another host, so nothing must come from the one that leaves.
+    // The host of a steward is being replaced. Another host succeeds it, so the leaving steward must send no more
+    // orders.
     @Test
     void leavingStewardSendsNoMoreOrders() throws Exception {
         platform.nextOrder();
--- a/org.whinwharf.test/src/test/java/org/whinwharf/order/FakeEngine.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/order/FakeEngine.java
@@ -8,7 +8,7 @@
 import org.whinwharf.wire.schema.EngineState;
 import org.whinwharf.wire.schema.LoadedModel;
 
-/** Engine that carries orders out at once and keeps those it accepted. */
+/** Engine that executes every order at once and records the orders that it accepted. */
 class FakeEngine {
     private final boolean checksFencing;
     private final Map<String, String> versions = new TreeMap<>();
--- a/org.whinwharf.test/src/test/java/org/whinwharf/order/FakeSteward.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/order/FakeSteward.java
@@ -7,7 +7,7 @@
 import org.whinwharf.document.DocumentView;
 import org.whinwharf.membership.Membership;
 
-/** Runs a steward's decisions against fake engines, with a clock and a host list that a test controls. */
+/** Runs a {@link StewardCore} against fake engines. Tests control the clock and the host list. */
 final class FakeSteward {
     static final long ORDER_TIMEOUT_MILLIS = 10_000;
 
@@ -38,14 +38,14 @@
         listConfirmedAtMillis = nowMillis;
     }
 
-    /** Decides and carries out; {@code pauseMillis} passes between the decision and the sending. */
+    /** Plans and executes the actions that are due. Orders are sent {@code pauseMillis} after the decision. */
     void tick(long nowMillis, long unixMillis, long pauseMillis) {
         for (StewardAction action : core.tick(nowMillis, unixMillis, listConfirmedAt())) {
             if (action instanceof StewardAction.ReadState read) {
                 String name = read.target().getName();
                 core.stateRead(name, engines.get(name).state(), nowMillis);
             } else if (action instanceof StewardAction.SendOrder send) {
-                send(send.order(), nowMillis + pauseMillis);
+                sendOrder(send.order(), nowMillis + pauseMillis);
             }
         }
     }
@@ -68,7 +68,7 @@
         return withholdReasons;
     }
 
-    private void send(PlannedOrder order, long nowMillis) {
+    private void sendOrder(PlannedOrder order, long nowMillis) {
         String name = order.target().getName();
         var reason = core.withholdReason(order, nowMillis, listConfirmedAt(), generation);
         if (reason.isPresent()) {
--- a/org.whinwharf.test/src/test/java/org/whinwharf/order/OrderFleet.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/order/OrderFleet.java
@@ -19,7 +19,7 @@
 import org.whinwharf.wire.schema.ServiceSpec;
 import org.whinwharf.wire.schema.TargetInfo;
 
-/** Makes host lists and documents for tests of orders. */
+/** Builds host lists and documents for the tests of stewards. */
 final class OrderFleet {
     static final String DATA_CENTRE = "martin-a";
 
--- a/org.whinwharf.test/src/test/java/org/whinwharf/order/StewardCoreTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/order/StewardCoreTest.java
@@ -50,23 +50,27 @@
 
     @Test
     void backsOffFromEngineThatDoesNotFollowOrders() {
-        FakeEngine deaf = new FakeEngine(true) {
+        FakeEngine unresponsive = new FakeEngine(true) {
             @Override
             EngineState state() {
                 return EngineState.newBuilder().setStartNumber(1).build();
             }
         };
-        FakeSteward asking = new FakeSteward("entry-0", HIGH_LOAD_RATE, Map.of(ENGINE, deaf));
-        asking.update(list(4, "entry-0"), CHECKS_FENCING, 0);
+        FakeSteward orderingSteward = new FakeSteward("entry-0", HIGH_LOAD_RATE, Map.of(ENGINE, unresponsive));
+        orderingSteward.update(list(4, "entry-0"), CHECKS_FENCING, 0);
         for (long now = 0; now < 60_000; now += 100) {
-            asking.confirmList(now);
-            asking.tick(now, now, 0);
+            orderingSteward.confirmList(now);
+            orderingSteward.tick(now, now, 0);
         }
-        assertThat("pauses grow when an engine does not follow", deaf.accepted().size(), lessThan(8));
+        assertThat(
+                "the backoff grows when an engine does not execute its orders",
+                unresponsive.accepted().size(),
+                lessThan(8));
     }
 
-    // The host list's replicas lag, and a process can read an earlier list after a later one. If the number fell, an
-    // engine that checks it would refuse all orders, and one would notice engines that stay without their model.
+    // Guards against a decreasing fencing number. The replicas of the host list lag, so a process can read an earlier
+    // list
+    // after a later one. An engine that checks the number would then reject all orders and stay without its model.
     @Property(seed = "20261203", tries = 200)
     void fencingNumberNeverDecreases(
             @ForAll @Size(min = 1, max = 12) List<@IntRange(min = 1, max = 20) Integer> revisions) {
@@ -76,24 +80,25 @@
                 return super.state().toBuilder().clearFencingNumber().build();
             }
         };
-        FakeSteward each = new FakeSteward("entry-0", HIGH_LOAD_RATE, Map.of(ENGINE, forgetful));
+        FakeSteward orderingSteward = new FakeSteward("entry-0", HIGH_LOAD_RATE, Map.of(ENGINE, forgetful));
         long now = 0;
         long generation = 1;
         for (int revision : revisions) {
             DocumentView next = OrderFleet.document(generation, "v" + generation, true);
             generation++;
-            each.update(list(revision, "entry-0"), next, now);
-            each.run(now, now + 3_000);
+            orderingSteward.update(list(revision, "entry-0"), next, now);
+            orderingSteward.run(now, now + 3_000);
             now += 3_000;
         }
-        List<Long> sorted = new ArrayList<>(each.fencingNumbers());
+        List<Long> sorted = new ArrayList<>(orderingSteward.fencingNumbers());
         sorted.sort(null);
-        assertThat(each.fencingNumbers(), is(sorted));
-        assertThat(each.fencingNumbers(), not(empty()));
+        assertThat(orderingSteward.fencingNumbers(), is(sorted));
+        assertThat(orderingSteward.fencingNumbers(), not(empty()));
     }
 
-    // The process is stopped by the system between its decision and the sending, and wakes a minute later. Meanwhile
-    // another host became the steward and has ordered another version; the old order would undo it.
+    // Guards against an outdated order after a pause. The operating system stops the process for a minute between the
+    // decision and the sending. Another host has become the steward meanwhile and ordered another version, which the
+    // old order would undo.
     @Test
     void pausedStewardWithholdsItsOrderAfterResuming() {
         steward.update(list(4, "entry-0"), CHECKS_FENCING, 0);
@@ -105,7 +110,7 @@
 
         steward.confirmList(70_000);
         steward.run(70_000, 72_000);
-        assertThat("a fresh list lets it order again", engine.accepted(), hasSize(1));
+        assertThat("the steward sends orders again once the list is confirmed", engine.accepted(), hasSize(1));
     }
 
     @Test
@@ -115,95 +120,102 @@
         assertThat(engine.accepted(), empty());
     }
 
-    // List or document change between the decision and the sending, and the thread that decides has not heard of it
-    // yet. The order would load what nobody wants any more, or come from a host that is no longer the steward.
+    // The list or the document changes between the decision and the sending, before the deciding thread receives the
+    // change. The order would load a model that is no longer in the document, or come from a host that is no longer the
+    // steward.
     @Test
     void withholdsOrderAfterListOrDocumentChange() {
         steward.update(list(4, "entry-0"), CHECKS_FENCING, 0);
         steward.tick(0, 0, 0);
-        PlannedOrder decided = steward.core().tick(100, 100, OptionalLong.of(0)).stream()
+        PlannedOrder planned = steward.core().tick(100, 100, OptionalLong.of(0)).stream()
                 .filter(StewardAction.SendOrder.class::isInstance)
                 .map(action -> ((StewardAction.SendOrder) action).order())
                 .findFirst()
                 .orElseThrow();
         StewardCore core = steward.core();
-        assertThat(core.withholdReason(decided, 120, OptionalLong.of(0), 1), is(Optional.empty()));
+        assertThat(core.withholdReason(planned, 120, OptionalLong.of(0), 1), is(Optional.empty()));
         assertThat(
-                core.withholdReason(decided, 120, OptionalLong.of(0), 2),
+                core.withholdReason(planned, 120, OptionalLong.of(0), 2),
                 is(Optional.of(WithholdReason.DOCUMENT_CHANGED)));
         assertThat(
-                core.withholdReason(decided, 120, OptionalLong.empty(), 1), is(Optional.of(WithholdReason.LIST_STALE)));
+                core.withholdReason(planned, 120, OptionalLong.empty(), 1), is(Optional.of(WithholdReason.LIST_STALE)));
         steward.update(list(5, "entry-0"), CHECKS_FENCING, 110);
         assertThat(
-                core.withholdReason(decided, 120, OptionalLong.of(110), 1),
+                core.withholdReason(planned, 120, OptionalLong.of(110), 1),
                 is(Optional.of(WithholdReason.LIST_CHANGED)));
     }
 
-    // A steward is replaced while its last order to an engine that ignores fencing numbers is still on its way. If the
-    // new one ordered at once, the late order would undo it and the engine would serve the old version.
+    // Guards against a late order of the old steward to an engine that ignores fencing numbers. If the new steward sent
+    // its order while the old one's last order is in flight, the late order would undo it and the engine would serve
+    // the
+    // old version.
     @Property(seed = "20261203", tries = 200)
     void newStewardWaitsForTheOldOneWhereFencingIsIgnored(
-            @ForAll @LongRange(min = 0, max = 2_000) long oldHeardLateMillis,
+            @ForAll @LongRange(min = 0, max = 2_000) long oldConfirmedLateMillis,
             @ForAll @LongRange(min = 0, max = TakeoverTiming.MAX_LIST_AGE_MILLIS - 200) long oldPauseMillis,
-            @ForAll @LongRange(min = 0, max = 5_000) long newHeardLateMillis) {
-        FakeEngine ignoring = new FakeEngine(false);
-        FakeSteward old = new FakeSteward("entry-0", HIGH_LOAD_RATE, Map.of(ENGINE, ignoring));
-        FakeSteward young = new FakeSteward("entry-1", HIGH_LOAD_RATE, Map.of(ENGINE, ignoring));
-        old.update(list(4, "entry-0"), IGNORES_FENCING, 0);
-        long published = 100_000;
-        // A lagging replica tells the old steward that its list still stands.
-        long oldHeard = published + oldHeardLateMillis;
-        young.update(list(5, "entry-1"), OrderFleet.document(2, "2", false), published + newHeardLateMillis);
-        old.confirmList(oldHeard);
-        for (long now = oldHeard; now < published + 60_000; now += 100) {
-            if (now >= oldHeard + oldPauseMillis) {
-                old.tick(now, now, 0);
+            @ForAll @LongRange(min = 0, max = 5_000) long newReceivedLateMillis) {
+        FakeEngine engineIgnoringFencing = new FakeEngine(false);
+        FakeSteward oldSteward = new FakeSteward("entry-0", HIGH_LOAD_RATE, Map.of(ENGINE, engineIgnoringFencing));
+        FakeSteward newSteward = new FakeSteward("entry-1", HIGH_LOAD_RATE, Map.of(ENGINE, engineIgnoringFencing));
+        oldSteward.update(list(4, "entry-0"), IGNORES_FENCING, 0);
+        long publishedAt = 100_000;
+        // A lagging replica confirms the old list to the old steward after the new list was published.
+        long oldConfirmedAt = publishedAt + oldConfirmedLateMillis;
+        newSteward.update(list(5, "entry-1"), OrderFleet.document(2, "2", false), publishedAt + newReceivedLateMillis);
+        oldSteward.confirmList(oldConfirmedAt);
+        for (long now = oldConfirmedAt; now < publishedAt + 60_000; now += 100) {
+            if (now >= oldConfirmedAt + oldPauseMillis) {
+                oldSteward.tick(now, now, 0);
             }
-            young.confirmList(now);
-            young.tick(now, now, 0);
+            newSteward.confirmList(now);
+            newSteward.tick(now, now, 0);
         }
-        long lastEndMillis = old.sentAtMillis().isEmpty()
-                ? oldHeard + TakeoverTiming.MAX_LIST_AGE_MILLIS + FakeSteward.ORDER_TIMEOUT_MILLIS
-                : old.sentAtMillis().get(old.sentAtMillis().size() - 1) + FakeSteward.ORDER_TIMEOUT_MILLIS;
-        assertThat(young.sentAtMillis(), not(empty()));
-        assertThat(young.sentAtMillis().get(0), greaterThanOrEqualTo(lastEndMillis));
-        assertThat(ignoring.version("lampa"), is("2"));
+        long lastOldOrderEndMillis = oldSteward.sentAtMillis().isEmpty()
+                ? oldConfirmedAt + TakeoverTiming.MAX_LIST_AGE_MILLIS + FakeSteward.ORDER_TIMEOUT_MILLIS
+                : oldSteward.sentAtMillis().get(oldSteward.sentAtMillis().size() - 1)
+                        + FakeSteward.ORDER_TIMEOUT_MILLIS;
+        assertThat(newSteward.sentAtMillis(), not(empty()));
+        assertThat(newSteward.sentAtMillis().get(0), greaterThanOrEqualTo(lastOldOrderEndMillis));
+        assertThat(engineIgnoringFencing.version("lampa"), is("2"));
     }
 
     @Test
     void revisionGapRestartsTheTakeoverDelay() {
         steward.update(list(4, "entry-0"), IGNORES_FENCING, 0);
-        long almost = TAKEOVER_DELAY_MILLIS - 100;
-        steward.update(list(5, "entry-0"), IGNORES_FENCING, almost);
-        steward.run(almost, almost + 50);
-        // Under revision 6, which this host never saw, another host may have been the steward.
-        steward.update(list(7, "entry-0"), IGNORES_FENCING, almost + 60);
+        long almostTakeover = TAKEOVER_DELAY_MILLIS - 100;
+        steward.update(list(5, "entry-0"), IGNORES_FENCING, almostTakeover);
+        steward.run(almostTakeover, almostTakeover + 50);
+        // Another host may have been the steward under revision 6, which this host did not receive.
+        steward.update(list(7, "entry-0"), IGNORES_FENCING, almostTakeover + 60);
         steward.run(TAKEOVER_DELAY_MILLIS, TAKEOVER_DELAY_MILLIS + 2_000);
         assertThat(engine.accepted(), empty());
-        steward.confirmList(almost + 60 + TAKEOVER_DELAY_MILLIS);
-        steward.run(almost + 60 + TAKEOVER_DELAY_MILLIS, almost + 2_000 + TAKEOVER_DELAY_MILLIS);
+        steward.confirmList(almostTakeover + 60 + TAKEOVER_DELAY_MILLIS);
+        steward.run(almostTakeover + 60 + TAKEOVER_DELAY_MILLIS, almostTakeover + 2_000 + TAKEOVER_DELAY_MILLIS);
         assertThat(engine.accepted(), hasSize(1));
     }
 
-    // Two hosts read lists of different age at the same time and both take themselves for the steward, one of them with
-    // an older document. Without the number, the engine would change versions to and fro.
+    // Two hosts with different revisions of the host list both act as the steward of one engine, one of them with an
+    // older document. Without the fencing number, the engine would alternate between the versions.
     @Test
     void stewardWithTheLaterListPrevails() {
-        FakeSteward late = new FakeSteward("entry-0", HIGH_LOAD_RATE, Map.of(ENGINE, engine));
-        FakeSteward early = new FakeSteward("entry-1", HIGH_LOAD_RATE, Map.of(ENGINE, engine));
-        late.update(list(4, "entry-0"), CHECKS_FENCING, 0);
-        early.update(list(5, "entry-1"), OrderFleet.document(2, "2", true), 0);
+        FakeSteward staleSteward = new FakeSteward("entry-0", HIGH_LOAD_RATE, Map.of(ENGINE, engine));
+        FakeSteward currentSteward = new FakeSteward("entry-1", HIGH_LOAD_RATE, Map.of(ENGINE, engine));
+        staleSteward.update(list(4, "entry-0"), CHECKS_FENCING, 0);
+        currentSteward.update(list(5, "entry-1"), OrderFleet.document(2, "2", true), 0);
         for (long now = 0; now < 30_000; now += 100) {
-            late.confirmList(now);
-            early.confirmList(now);
-            late.tick(now, now, 0);
-            early.tick(now, now, 0);
+            staleSteward.confirmList(now);
+            currentSteward.confirmList(now);
+            staleSteward.tick(now, now, 0);
+            currentSteward.tick(now, now, 0);
         }
         assertThat(engine.version("lampa"), is("2"));
-        long lastOfEarlier = engine.accepted().stream()
+        long ordersOfStaleSteward = engine.accepted().stream()
                 .filter(order -> order.getFencingNumber() == 4)
                 .count();
-        assertThat("after the later number the earlier one is silent", lastOfEarlier, lessThan(2L));
+        assertThat(
+                "the steward with the lower number stops once the engine knows the higher one",
+                ordersOfStaleSteward,
+                lessThan(2L));
         assertThat(engine.accepted().get(engine.accepted().size() - 1).getFencingNumber(), is(5L));
     }
 
@@ -213,7 +225,7 @@
         for (Host target : OrderFleet.engines(40)) {
             assertThat(StewardSelector.stewardOf(target, list).isPresent(), is(true));
         }
-        long busiest = OrderFleet.stewards(7).stream()
+        long maxTargetsPerSteward = OrderFleet.stewards(7).stream()
                 .mapToLong(host -> OrderFleet.engines(40).stream()
                         .filter(target -> StewardSelector.stewardOf(target, list)
                                 .orElseThrow()
@@ -221,8 +233,8 @@
                         .count())
                 .max()
                 .orElseThrow();
-        assertThat("targets are spread", busiest, lessThan(20L));
-        assertThat(busiest, greaterThan(0L));
+        assertThat("targets are spread over the stewards", maxTargetsPerSteward, lessThan(20L));
+        assertThat(maxTargetsPerSteward, greaterThan(0L));
     }
 
     private static Membership list(long revision, String steward) {
--- a/org.whinwharf.test/src/test/java/org/whinwharf/order/WeightStoreRateLimiterTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/order/WeightStoreRateLimiterTest.java
@@ -23,8 +23,9 @@
     private static final long UNIX_MILLIS = 1_790_000_000_000L;
     private static final long TICK_MILLIS = 50;
 
-    // After an outage every engine is cold and every steward wants to load at once. The weight store refuses what comes
-    // above its rate, and one would notice loads that fail again and again while nothing serves.
+    // Guards against loads above the rate of the weight store. After an outage no engine has a model and all stewards
+    // send loads at once. The weight store rejects loads above its rate, so they would fail repeatedly while no engine
+    // serves requests.
     @ParameterizedTest
     @CsvSource({"7,17,2", "40,100,4", "100,150,2"})
     void coldFleetLoadsAtTheRateLimit(int stewards, int targets, double loadsPerSecond) {
@@ -32,91 +33,91 @@
         List<Host> engines = OrderFleet.engines(targets);
         Membership list = OrderFleet.membership(3, hosts, engines);
         DocumentView document = OrderFleet.document(1, "1", true);
-        Map<String, FakeEngine> cold = new HashMap<>();
-        engines.forEach(engine -> cold.put(engine.getName(), new FakeEngine(true)));
+        Map<String, FakeEngine> coldEngines = new HashMap<>();
+        engines.forEach(engine -> coldEngines.put(engine.getName(), new FakeEngine(true)));
         List<FakeSteward> fleet = new ArrayList<>();
-        hosts.forEach(host -> fleet.add(new FakeSteward(host.getName(), loadsPerSecond, cold)));
-        fleet.forEach(each -> each.update(list, document, 0));
+        hosts.forEach(host -> fleet.add(new FakeSteward(host.getName(), loadsPerSecond, coldEngines)));
+        fleet.forEach(steward -> steward.update(list, document, 0));
 
         List<Long> loadsAtMillis = new ArrayList<>();
-        long wholeRoundMillis = Math.round(1_000 * targets / loadsPerSecond);
-        // The first readings take a tick, and a turn that falls between a reading and its answer is lost until the next
-        // round.
-        for (long now = 0; now < 2 * wholeRoundMillis + 1_000; now += TICK_MILLIS) {
-            for (FakeSteward each : fleet) {
-                int before = each.sentAtMillis().size();
-                each.confirmList(now);
-                each.tick(now, UNIX_MILLIS + now, 0);
-                for (int i = before; i < each.sentAtMillis().size(); i++) {
+        long roundMillis = Math.round(1_000 * targets / loadsPerSecond);
+        // The first reads take one tick. A slot between a read and its response is lost until the next round, so the
+        // loop runs for two rounds.
+        for (long now = 0; now < 2 * roundMillis + 1_000; now += TICK_MILLIS) {
+            for (FakeSteward steward : fleet) {
+                int before = steward.sentAtMillis().size();
+                steward.confirmList(now);
+                steward.tick(now, UNIX_MILLIS + now, 0);
+                for (int i = before; i < steward.sentAtMillis().size(); i++) {
                     loadsAtMillis.add(now);
                 }
             }
         }
         assertThat("every engine is loaded once", loadsAtMillis.size(), is(targets));
         assertThat(maxCountWithin(1_000, loadsAtMillis), lessThanOrEqualTo((int) Math.ceil(loadsPerSecond) + 1));
-        long firstRound = loadsAtMillis.stream()
-                .filter(at -> at <= wholeRoundMillis + 1_000)
-                .count();
-        assertThat("most of the rate is used", (double) firstRound, closeTo(targets, 0.1 * targets));
+        long firstRoundLoads =
+                loadsAtMillis.stream().filter(at -> at <= roundMillis + 1_000).count();
+        assertThat("the first round uses most of the rate", (double) firstRoundLoads, closeTo(targets, 0.1 * targets));
     }
 
-    // Clocks of hosts differ by up to half a second. Turns then overlap by that time, but the rate must still hold over
-    // any longer time.
+    // The clocks of the hosts differ by up to half a second. Slots of different hosts then overlap by that offset, but
+    // the
+    // rate must still hold over any longer time.
     @Test
     void clockOffsetsShiftLoadsByNoMoreThanTheOffset() {
-        List<WeightStoreRateLimiter> stewards = new ArrayList<>();
+        List<WeightStoreRateLimiter> limiters = new ArrayList<>();
         List<Long> offsets = new ArrayList<>();
         List<String> targets = names(60);
         Random random = new Random(7);
         for (int i = 0; i < 60; i++) {
-            WeightStoreRateLimiter turns = new WeightStoreRateLimiter(2);
-            turns.updateTargets(targets, Set.of(targets.get(i)), 0);
-            stewards.add(turns);
+            WeightStoreRateLimiter limiter = new WeightStoreRateLimiter(2);
+            limiter.updateTargets(targets, Set.of(targets.get(i)), 0);
+            limiters.add(limiter);
             offsets.add((long) random.nextInt(1_000) - 500);
         }
-        List<Long> taken = new ArrayList<>();
+        List<Long> acquiredAtMillis = new ArrayList<>();
         for (long now = 0; now < 120_000; now += TICK_MILLIS) {
-            for (int i = 0; i < stewards.size(); i++) {
-                if (stewards.get(i).tryAcquire(now, UNIX_MILLIS + now + offsets.get(i))) {
-                    taken.add(now);
+            for (int i = 0; i < limiters.size(); i++) {
+                if (limiters.get(i).tryAcquire(now, UNIX_MILLIS + now + offsets.get(i))) {
+                    acquiredAtMillis.add(now);
                 }
             }
         }
-        int mostIn10Seconds = maxCountWithin(10_000, taken);
-        assertThat(mostIn10Seconds, lessThanOrEqualTo(2 * (10 + 1) + 1));
+        int maxLoadsIn10Seconds = maxCountWithin(10_000, acquiredAtMillis);
+        assertThat(maxLoadsIn10Seconds, lessThanOrEqualTo(2 * (10 + 1) + 1));
     }
 
-    // The wall clock of a host is set back by a second, again and again, so that the same turns come round each second.
-    // The tokens bound what that host can take.
+    // The wall clock of a host is set back by one second every second, so that the same slots repeat. The token bucket
+    // must limit that host to its share of the rate, plus one initial token per target.
     @ParameterizedTest
     @ValueSource(longs = {0, 500, 1_000, 1_500, 2_000, 2_500, 3_000, 3_500, 4_000, 4_500})
     void wallClockSetBackStaysWithinTheShare(long offsetMillis) {
         List<String> targets = names(10);
-        WeightStoreRateLimiter turns = new WeightStoreRateLimiter(2);
-        turns.updateTargets(targets, Set.copyOf(targets.subList(0, 2)), 0);
-        int taken = 0;
+        WeightStoreRateLimiter limiter = new WeightStoreRateLimiter(2);
+        limiter.updateTargets(targets, Set.copyOf(targets.subList(0, 2)), 0);
+        int acquired = 0;
         for (long now = 0; now < 100_000; now += TICK_MILLIS) {
             long unix = UNIX_MILLIS + offsetMillis + now % 1_000;
-            taken += turns.tryAcquire(now, unix) ? 1 : 0;
+            acquired += limiter.tryAcquire(now, unix) ? 1 : 0;
         }
         double shareOf100Seconds = 2.0 * 2 / 10 * 100;
-        assertThat(taken, lessThanOrEqualTo((int) shareOf100Seconds + 2));
+        assertThat(acquired, lessThanOrEqualTo((int) shareOf100Seconds + 2));
     }
 
     @Test
     void loadsEngineWithoutModelsFirst() {
         List<Host> engines = OrderFleet.engines(2);
-        FakeEngine outdated = new FakeEngine(true);
-        outdated.order(OrderStep.load(model("0")).toOrder(1, ""));
-        FakeEngine cold = new FakeEngine(true);
-        FakeSteward steward = new FakeSteward("entry-0", 1, Map.of("engine-0", outdated, "engine-1", cold));
+        FakeEngine outdatedEngine = new FakeEngine(true);
+        outdatedEngine.order(OrderStep.load(model("0")).toOrder(1, ""));
+        FakeEngine coldEngine = new FakeEngine(true);
+        FakeSteward steward = new FakeSteward("entry-0", 1, Map.of("engine-0", outdatedEngine, "engine-1", coldEngine));
         steward.update(OrderFleet.membership(3, OrderFleet.stewards(1), engines), OrderFleet.document(1, "1", true), 0);
-        for (long now = 0; cold.accepted().isEmpty() && now < 10_000; now += TICK_MILLIS) {
+        for (long now = 0; coldEngine.accepted().isEmpty() && now < 10_000; now += TICK_MILLIS) {
             steward.confirmList(now);
             steward.tick(now, UNIX_MILLIS + now, 0);
-            assertThat(outdated.accepted().size(), is(1));
+            assertThat(outdatedEngine.accepted().size(), is(1));
         }
-        assertThat(cold.version("lampa"), is("1"));
+        assertThat(coldEngine.version("lampa"), is("1"));
     }
 
     private static org.whinwharf.wire.schema.Model model(String version) {
@@ -131,13 +132,13 @@
     }
 
     private static int maxCountWithin(long windowMillis, List<Long> atMillis) {
-        int most = 0;
+        int maxCount = 0;
         for (long from : atMillis) {
             int within = (int) atMillis.stream()
                     .filter(at -> at >= from && at < from + windowMillis)
                     .count();
-            most = Math.max(most, within);
+            maxCount = Math.max(maxCount, within);
         }
-        return most;
+        return maxCount;
     }
 }
