--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/StewardMetrics.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/StewardMetrics.java
@@ -35,8 +35,8 @@
             Gauge.builder("whinwharf.engines", engines, supplier -> count(supplier.get(), state))
                     .tag("state", state)
                     .description("engines of this steward by state")
-                    // No other object references the supplier, so a weak reference would be cleared by the next
-                    // garbage collection and the gauge would read NaN.
+                    // No other object references the supplier, so a weak reference would be cleared by the next garbage
+                    // collection and the gauge would read NaN.
                     .strongReference(true)
                     .register(registry);
         }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/order/StewardCoreTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/order/StewardCoreTest.java
@@ -69,8 +69,7 @@
     }
 
     // Guards against a decreasing fencing number. The replicas of the host list lag, so a process can read an earlier
-    // list
-    // after a later one. An engine that checks the number would then reject all orders and stay without its model.
+    // list after a later one. An engine that checks the number would then reject all orders and stay without its model.
     @Property(seed = "20261203", tries = 200)
     void fencingNumberNeverDecreases(
             @ForAll @Size(min = 1, max = 12) List<@IntRange(min = 1, max = 20) Integer> revisions) {
@@ -147,8 +146,7 @@
 
     // Guards against a late order of the old steward to an engine that ignores fencing numbers. If the new steward sent
     // its order while the old one's last order is in flight, the late order would undo it and the engine would serve
-    // the
-    // old version.
+    // the old version.
     @Property(seed = "20261203", tries = 200)
     void newStewardWaitsForTheOldOneWhereFencingIsIgnored(
             @ForAll @LongRange(min = 0, max = 2_000) long oldConfirmedLateMillis,
--- a/org.whinwharf.test/src/test/java/org/whinwharf/order/WeightStoreRateLimiterTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/order/WeightStoreRateLimiterTest.java
@@ -61,8 +61,7 @@
     }
 
     // The clocks of the hosts differ by up to half a second. Slots of different hosts then overlap by that offset, but
-    // the
-    // rate must still hold over any longer time.
+    // the rate must still hold over any longer time.
     @Test
     void clockOffsetsShiftLoadsByNoMoreThanTheOffset() {
         List<WeightStoreRateLimiter> limiters = new ArrayList<>();
--- a/org.whinwharf/src/main/java/org/whinwharf/order/StewardCore.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/StewardCore.java
@@ -29,7 +29,7 @@
  * engine ignores them, the new steward waits until its predecessor has certainly stopped: a steward sends orders only
  * while its host list is fresh on its own monotonic clock.
  *
- * <p>Uses no clock, socket or thread of its localEngines. Not thread-safe.
+ * <p>Uses no clock, socket or thread of its own. Not thread-safe.
  */
 public final class StewardCore {
     /** Longest time between the decision on an order and its sending. */
--- a/org.whinwharf/src/main/java/org/whinwharf/order/WeightStoreRateLimiter.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/WeightStoreRateLimiter.java
@@ -20,6 +20,7 @@
  */
 public final class WeightStoreRateLimiter {
     private static final long NO_TIME_SLOT = Long.MIN_VALUE / 2;
+
     /** Longest time after the start of a slot at which the slot can still be used. */
     private static final long MAX_LATENESS_MILLIS = 100;
 
--- a/org.whinwharf/src/main/java/org/whinwharf/order/internal/EngineTracker.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/internal/EngineTracker.java
@@ -10,10 +10,7 @@
 import org.whinwharf.wire.schema.EngineState;
 import org.whinwharf.wire.schema.Host;
 
-/**
- * State that a steward keeps of one engine: its last stateIsRecent state, the reads and orders in flight, and the
- * backoff.
- */
+/** State that a steward keeps of one engine: its last known state, the reads and orders in flight, and the backoff. */
 public final class EngineTracker {
     /** Interval between two reads of an engine that is in its desired state. */
     public static final long IDLE_POLL_INTERVAL_MILLIS = 5_000;
@@ -40,7 +37,7 @@
     private String readError = "";
 
     /**
-     * Creates a tracker for an engine that was not read yet.
+     * Creates a tracker for an engine whose state was not read yet.
      *
      * @param target host entry of the engine
      */
