--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeDriver.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeDriver.java
@@ -30,11 +30,11 @@
     static final Ticket TICKET = new Ticket("home", 7, 1, 2, "orava", 600_000);
 
     final Home home;
-    final List<HomeAction> all = new ArrayList<>();
-    final Map<Long, Integer> finals = new HashMap<>();
-    final Set<Long> out = new HashSet<>();
-    final Set<Long> neverRun = new HashSet<>();
-    final Map<Long, HomeAction.Dispatch> unsent = new HashMap<>();
+    final List<HomeAction> allActions = new ArrayList<>();
+    final Map<Long, Integer> finalAnswers = new HashMap<>();
+    final Set<Long> sentRequests = new HashSet<>();
+    final Set<Long> reportedNotRun = new HashSet<>();
+    final Map<Long, HomeAction.Dispatch> pendingDispatches = new HashMap<>();
     long nowMillis = 1_000;
     View view = new View(Set.of("zone-a", "zone-b"), Set.of("engine-1", "engine-2"));
     private long lastGrant;
@@ -58,7 +58,7 @@
 
     List<HomeAction> on(HomeEvent event) {
         List<HomeAction> actions = home.handle(event, nowMillis);
-        all.addAll(actions);
+        allActions.addAll(actions);
         actions.forEach(this::check);
         return actions;
     }
@@ -99,25 +99,25 @@
 
     /** Does what the sending thread does with a dispatch: asks the gate by its own clock, then tells the home. */
     List<HomeAction> runSender(long sequence) {
-        HomeAction.Dispatch dispatch = unsent.remove(sequence);
+        HomeAction.Dispatch dispatch = pendingDispatches.remove(sequence);
         if (dispatch == null) {
             return List.of();
         }
         if (!dispatch.gate().trySend(nowMillis)) {
             return on(new HomeEvent.NotSent(sequence));
         }
-        check(out.add(sequence), "request " + sequence + " left twice");
-        check(!neverRun.contains(sequence), "request " + sequence + " left after not run was said of it");
+        check(sentRequests.add(sequence), "request " + sequence + " left twice");
+        check(!reportedNotRun.contains(sequence), "request " + sequence + " left after not run was said of it");
         return on(new HomeEvent.Sent(sequence));
     }
 
     List<HomeAction> connectFails(long sequence) {
-        out.remove(sequence);
+        sentRequests.remove(sequence);
         return on(new HomeEvent.ConnectFailed(sequence));
     }
 
     List<HomeAction> targetRefuses(long sequence) {
-        out.remove(sequence);
+        sentRequests.remove(sequence);
         return on(new HomeEvent.TargetRefused(sequence));
     }
 
@@ -150,7 +150,7 @@
     }
 
     <T extends HomeAction> List<T> find(Class<T> type) {
-        return of(all, type).toList();
+        return of(allActions, type).toList();
     }
 
     static <T extends HomeAction> Stream<T> of(List<HomeAction> actions, Class<T> type) {
@@ -209,32 +209,34 @@
 
     private void check(HomeAction action) {
         if (action instanceof HomeAction.Dispatch dispatch) {
-            unsent.put(dispatch.sequence(), dispatch);
+            pendingDispatches.put(dispatch.sequence(), dispatch);
         } else if (action instanceof HomeAction.AnswerError error) {
-            last(error.caller());
-            checkTruth(error);
+            recordFinalAnswer(error.caller());
+            checkNotRunIsTrue(error);
         } else if (action instanceof HomeAction.AnswerEnd end) {
-            last(end.caller());
+            recordFinalAnswer(end.caller());
         } else if (action instanceof HomeAction.AnswerBody body) {
-            last(body.caller());
+            recordFinalAnswer(body.caller());
         } else if (action instanceof HomeAction.ReplayAnswer kept) {
-            last(kept.caller());
+            recordFinalAnswer(kept.caller());
         } else if (action instanceof HomeAction.AnswerState state) {
-            last(state.caller());
+            recordFinalAnswer(state.caller());
         }
     }
 
-    private void checkTruth(HomeAction.AnswerError error) {
+    private void checkNotRunIsTrue(HomeAction.AnswerError error) {
         String name = error.outcome().error().orElseThrow().wireName();
         boolean aboutThisRequest = error.sequence() > 0 && !name.equals("number-reused");
         if (aboutThisRequest && error.outcome().ran() == Ran.NOT_RUN) {
-            check(!out.contains(error.sequence()), "not run was said of " + error.sequence() + ", which left: " + name);
-            neverRun.add(error.sequence());
+            check(
+                    !sentRequests.contains(error.sequence()),
+                    "not run was said of " + error.sequence() + ", which left: " + name);
+            reportedNotRun.add(error.sequence());
         }
     }
 
-    private void last(long caller) {
-        int count = finals.merge(caller, 1, Integer::sum);
+    private void recordFinalAnswer(long caller) {
+        int count = finalAnswers.merge(caller, 1, Integer::sum);
         check(count == 1, "caller " + caller + " got " + count + " last answers");
     }
 
--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/HomePropertyTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/HomePropertyTest.java
@@ -29,14 +29,14 @@
     // Grants, refusals, pauses, broken links, cancels and repeats come in any order. Were a request sent twice, a
     // pickup would be booked twice; were "not run" said of one that left, its caller would send it again.
     @Property(seed = "20261203", tries = 3_000)
-    void sendsOnceSaysNotRunTruthfullyAndAnswersEachCallerOnce(
+    void dispatchesOnceReportsNotRunCorrectlyAndAnswersEachCallerOnce(
             @ForAll @Size(max = 60) List<@IntRange(min = 0, max = KINDS * 100 - 1) Integer> script) {
         Run run = new Run();
         script.forEach(number -> run.step(number % KINDS, number / KINDS));
         run.finish();
         for (long caller = 1; caller <= run.lastCaller; caller++) {
-            if (!run.gone.contains(caller)) {
-                assertThat("answers of caller " + caller, run.driver.finals.getOrDefault(caller, 0), is(1));
+            if (!run.disconnected.contains(caller)) {
+                assertThat("answers of caller " + caller, run.driver.finalAnswers.getOrDefault(caller, 0), is(1));
             }
         }
         assertThat(run.driver.home.liveCount(), is(0));
@@ -44,7 +44,7 @@
 
     private static final class Run {
         private final HomeDriver driver = HomeDriver.withOwners();
-        private final Set<Long> gone = new HashSet<>();
+        private final Set<Long> disconnected = new HashSet<>();
         private long lastCaller;
 
         void step(int kind, int salt) {
@@ -67,11 +67,11 @@
                 case 9, 10, 11 -> driver.runSender(sequence);
                 case 12 -> driver.refuse(sequence, driver.queuedAt(sequence), REASONS[salt % REASONS.length]);
                 case 13, 14 -> token(sequence, salt);
-                case 15 -> ifOut(sequence, new HomeEvent.StreamBroken(sequence, "cut"));
-                case 16 -> ifOut(sequence, new HomeEvent.StreamUnknown(sequence));
-                case 17 -> unanswered(sequence, salt);
+                case 15 -> ifSent(sequence, new HomeEvent.StreamBroken(sequence, "cut"));
+                case 16 -> ifSent(sequence, new HomeEvent.StreamUnknown(sequence));
+                case 17 -> endUnanswered(sequence, salt);
                 case 18 -> driver.on(new HomeEvent.CancelRequested(++lastCaller, sequence, "orava"));
-                case 19 -> goAway(1 + salt % Math.max(1, lastCaller));
+                case 19 -> disconnect(1 + salt % Math.max(1, lastCaller));
                 case 20 -> driver.nowMillis += salt * 37L;
                 case 21 ->
                     driver.on(
@@ -94,22 +94,22 @@
         }
 
         private void token(long sequence, int salt) {
-            if (driver.out.contains(sequence)) {
+            if (driver.sentRequests.contains(sequence)) {
                 driver.token(sequence, salt % 4, salt % 4 == 3);
             }
         }
 
-        private void ifOut(long sequence, HomeEvent event) {
-            if (driver.out.contains(sequence)) {
+        private void ifSent(long sequence, HomeEvent event) {
+            if (driver.sentRequests.contains(sequence)) {
                 driver.on(event);
             }
         }
 
-        private void unanswered(long sequence, int salt) {
+        private void endUnanswered(long sequence, int salt) {
             boolean answered = driver.find(HomeAction.Note.class).stream()
                     .anyMatch(note -> note.sequence() == sequence
                             && (note.note() == HomeNote.FIRST_TOKEN || note.note() == HomeNote.RESUMED));
-            if (!driver.out.contains(sequence) || answered) {
+            if (!driver.sentRequests.contains(sequence) || answered) {
                 return;
             }
             switch (salt % 3) {
@@ -119,9 +119,9 @@
             }
         }
 
-        private void goAway(long caller) {
+        private void disconnect(long caller) {
             if (caller <= lastCaller) {
-                gone.add(caller);
+                disconnected.add(caller);
                 driver.on(new HomeEvent.CallerDisconnected(caller));
             }
         }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeTest.java
@@ -63,16 +63,16 @@
     // The pause falls between the decision to send and the sending. The sender's own look at the clock keeps the
     // request back; without it the request would leave on a grant that ran out.
     @Test
-    void pauseBeforeTheSendingKeepsTheRequestBack() {
+    void pauseBeforeSendingPreventsTheDispatch() {
         driver.submit(1, request);
         driver.grant(1, driver.queuedAt(1), driver.nowMillis);
         driver.nowMillis += HomeDriver.GRANT_MILLIS;
         driver.runSender(1);
-        assertThat(driver.out, is(empty()));
+        assertThat(driver.sentRequests, is(empty()));
         assertThat(enqueues(), is(2L));
         driver.grant(1, driver.queuedAt(1), driver.nowMillis);
         driver.runSender(1);
-        assertThat(driver.out, is(Set.of(1L)));
+        assertThat(driver.sentRequests, is(Set.of(1L)));
     }
 
     // The deadline passes while the request sits between the decision and the sender. Whichever comes first decides:
@@ -81,7 +81,7 @@
     void deadlineAfterTheGateIsAnsweredAsRan() {
         driver.submit(1, request);
         driver.grant(1, driver.queuedAt(1), driver.nowMillis);
-        driver.unsent.get(1L).gate().trySend(driver.nowMillis);
+        driver.pendingDispatches.get(1L).gate().trySend(driver.nowMillis);
         driver.at(driver.nowMillis + HomeDriver.DEADLINE_MILLIS, new HomeEvent.Ticked());
         assertThat(driver.errorOf(1), is("deadline-running"));
         assertThat(driver.find(HomeAction.CancelAtTarget.class), hasSize(1));
@@ -147,7 +147,7 @@
 
     // A target that died refuses the connection. No byte left, so another target may get the request.
     @Test
-    void refusedConnectionIsNoDispatch() {
+    void refusedConnectionAllowsAnotherDispatch() {
         driver.sent(request);
         driver.connectFails(1);
         driver.grant(1, driver.queuedAt(1), driver.nowMillis);
@@ -181,26 +181,26 @@
         Recall recall = Recall.newBuilder().setRequest(1).setGrant(1).build();
         driver.on(new HomeEvent.Recalled(HomeDriver.OWNER_A, recall));
         driver.runSender(1);
-        assertThat(driver.out, is(empty()));
+        assertThat(driver.sentRequests, is(empty()));
         assertThat(enqueues(), is(2L));
     }
 
     // A target starts to leave, or its data centre is taken out, between the grant and the sending. It must not get
     // new work, so the grant goes back.
     @Test
-    void targetThatLeavesAfterTheGrantGetsNothing() {
+    void targetThatLeavesAfterTheGrantReceivesNoRequest() {
         driver.submit(1, request);
         driver.grant(1, HomeDriver.OWNER_A, driver.nowMillis);
         driver.on(new HomeEvent.ViewChanged(new HomeDriver.View(Set.of("zone-a", "zone-b"), Set.of("engine-2"))));
         driver.runSender(1);
-        assertThat(driver.out, is(empty()));
+        assertThat(driver.sentRequests, is(empty()));
         assertThat(last(driver.finished()).getKind(), is(FinishKind.UNUSED));
     }
 
     // Operators take this home's own data centre out. What waits goes on at targets elsewhere; fresh requests are told
     // at once to use another host.
     @Test
-    void dataCentreOutMovesWhatWaitsAndTurnsFreshRequestsAway() {
+    void dataCentreOutOfServiceMovesQueuedRequestsAndRejectsNewOnes() {
         driver.submit(1, request);
         assertThat(driver.queuedAt(1), is(HomeDriver.OWNER_A));
         driver.on(new HomeEvent.ViewChanged(new HomeDriver.View(Set.of("zone-b"), Set.of("engine-2"))));
@@ -216,7 +216,7 @@
     // The owner of a slice dies while requests wait there. They queue at another owner, which also hears what this
     // home has in flight at its targets; otherwise it would grant slots that are taken.
     @Test
-    void requestsOfADeadOwnerQueueElsewhereAndTheReturningOwnerHearsWhatIsInFlight() {
+    void requestsOfADeadOwnerQueueElsewhereAndTheReturningOwnerReceivesTheInFlightList() {
         driver.sent(request);
         driver.submit(2, request);
         driver.on(new HomeEvent.OwnerDisconnected(HomeDriver.OWNER_A));
@@ -238,7 +238,7 @@
     // names the old one first when they end. Were the next owner not told of their end, it would hold their places for
     // ever, and callers would wait at idle targets until their deadlines.
     @Test
-    void ownerThatWasToldWhatIsInFlightIsToldItsEndWhateverTheViewSays() {
+    void ownerThatCountsARequestInFlightReceivesItsEndWhateverTheViewNames() {
         driver.sent(request);
         driver.submit(2, request);
         driver.refuse(2, HomeDriver.OWNER_A, RefusalReason.OWNER_LEAVING);
@@ -290,16 +290,16 @@
         driver.nowMillis += 500;
         driver.on(new HomeEvent.Ticked());
         driver.nowMillis += 500;
-        hearWait(HomeDriver.SLICE_B, 2_000);
+        receiveWait(HomeDriver.SLICE_B, 2_000);
         driver.on(new HomeEvent.Ticked());
         assertThat(driver.queuedAt(1), is(HomeDriver.OWNER_A));
         driver.nowMillis += 500;
-        hearWait(HomeDriver.SLICE_B, 100);
+        receiveWait(HomeDriver.SLICE_B, 100);
         driver.on(new HomeEvent.Ticked());
         assertThat(driver.queuedAt(1), is(HomeDriver.OWNER_B));
     }
 
-    private void hearWait(SliceId slice, long waitMillis) {
+    private void receiveWait(SliceId slice, long waitMillis) {
         driver.on(new HomeEvent.StatusReceived(SliceStatus.newBuilder()
                 .setSlice(slice)
                 .setWaiting(50)
@@ -325,7 +325,7 @@
     }
 
     @Test
-    void shedRequestWithoutRoomElsewhereIsAnsweredAtOnceWithWhenToComeBack() {
+    void shedRequestWithoutSlotsElsewhereIsRejectedAtOnceWithARetryDelay() {
         driver.submit(1, request);
         driver.refuse(1, driver.queuedAt(1), RefusalReason.SHED);
         HomeAction.AnswerError error = last(driver.find(HomeAction.AnswerError.class));
@@ -349,7 +349,7 @@
     // A host is full and tells a caller "not run". A copy of that booking, delayed on another path, arrives when there
     // is room again. Its caller believes that it did not run, so it must not run now.
     @Test
-    void numberThatWasTurnedAwayStaysTurnedAway() {
+    void rejectedNumberStaysRejected() {
         driver.on(new HomeEvent.ViewChanged(new HomeDriver.View(Set.of("zone-b"), Set.of("engine-2"))));
         driver.submit(1, HomeDriver.booking(0).call());
         driver.on(new HomeEvent.ViewChanged(driver.view));
@@ -361,7 +361,7 @@
     }
 
     @Test
-    void ticketFaultsAreToldApart() {
+    void eachTicketErrorHasItsOwnKind() {
         driver.submit(1, HomeDriver.booking(0).call());
         driver.submit(2, HomeDriver.booking(0).contentDigest(2).call());
         assertThat(driver.errorOf(2), is("number-reused"));
@@ -377,7 +377,7 @@
     }
 
     @Test
-    void callerThatGoesAwayEndsItsWorkAndGivesTheSlotBack() {
+    void disconnectedCallerCancelsItsRequestAndReleasesTheSlot() {
         driver.sent(request);
         driver.on(new HomeEvent.CallerDisconnected(1));
         assertThat(driver.find(HomeAction.CancelAtTarget.class), hasSize(1));
@@ -406,7 +406,7 @@
     // The phone that booked goes away for good. The booking is under way and can't be taken back; it runs to its end,
     // so that the caller can learn what became of it.
     @Test
-    void callThatMayNotBeRepeatedRunsOnWithoutItsCaller() {
+    void nonIdempotentCallCompletesWithoutItsCaller() {
         driver.sent(HomeDriver.booking(0).call());
         driver.on(new HomeEvent.CallerDisconnected(1));
         driver.at(driver.nowMillis + 5_000, new HomeEvent.Ticked());
@@ -417,7 +417,7 @@
     }
 
     @Test
-    void slowCallerIsGivenUp() {
+    void slowCallerIsDisconnected() {
         driver.sent(request);
         driver.token(1, 0, false);
         driver.on(new HomeEvent.CallerSlow(1));
@@ -426,7 +426,7 @@
     }
 
     @Test
-    void plannedStopTurnsFreshRequestsAwayAndFinishesTheRest() {
+    void plannedStopRejectsNewRequestsAndCompletesTheRest() {
         driver.sent(request);
         driver.submit(2, request);
         driver.on(new HomeEvent.StopRequested());
@@ -441,7 +441,7 @@
     }
 
     @Test
-    void hostHoldsNoMoreRequestsThanItsBound() {
+    void hostHoldsNoMoreRequestsThanItsLimit() {
         for (int caller = 1; caller <= 21; caller++) {
             driver.submit(caller, request);
         }
@@ -453,7 +453,7 @@
     // room;
     // what is under way goes on.
     @Test
-    void fullHostShedsTheLowestTierThatWaits() {
+    void fullHostShedsTheLowestWaitingTier() {
         driver.sent(HomeDriver.engineRequest().tierRank(1).call());
         for (int caller = 2; caller <= 20; caller++) {
             driver.submit(
--- a/org.whinwharf.test/src/test/java/org/whinwharf/routing/RoutingPolicyTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/routing/RoutingPolicyTest.java
@@ -17,7 +17,7 @@
     private static final SliceId NEAR = slice("zone-a");
     private static final SliceId FAR = slice("zone-b");
     private static final RoutingRequest SHORT = new RoutingRequest(1, List.of());
-    private final SliceTracker board = new SliceTracker();
+    private final SliceTracker tracker = new SliceTracker();
     private final UniformRandomProvider random = RandomSource.SPLIT_MIX_64.create(3L);
 
     @Test
@@ -30,49 +30,49 @@
 
     @Test
     void nearSliceIsPreferredUntilItsWaitIsLonger() {
-        hear(NEAR, 0, 0);
-        hear(FAR, 0, 0);
+        updateStatus(NEAR, 0, 0);
+        updateStatus(FAR, 0, 0);
         assertThat(choose(SHORT, 0), is(NEAR));
-        hear(NEAR, 1, 900);
+        updateStatus(NEAR, 1, 900);
         assertThat(choose(SHORT, 0), is(FAR));
     }
 
     // A slice said once that it is free, then its owner fell silent. If every home went on believing it, all would
     // queue at the slice that is slowest to answer.
     @Test
-    void oldWordOfAFreeSliceCountsAsUnknown() {
-        hear(NEAR, 0, 0);
-        assertThat(board.estimatedWaitMillis(NEAR, 1, 10_000), is(SliceTracker.UNKNOWN_WAIT_MILLIS));
-        assertThat(board.hasAvailableSlots(NEAR, 10_000), is(false));
+    void staleStatusOfAFreeSliceCountsAsUnknown() {
+        updateStatus(NEAR, 0, 0);
+        assertThat(tracker.estimatedWaitMillis(NEAR, 1, 10_000), is(SliceTracker.UNKNOWN_WAIT_MILLIS));
+        assertThat(tracker.hasAvailableSlots(NEAR, 10_000), is(false));
     }
 
     @Test
-    void sessionSticksToItsSliceWhileItPays() {
+    void sessionStaysAtItsSliceUntilWaitOutweighsTheCachedPrefix() {
         RoutingRequest session = new RoutingRequest(1, PrefixDigests.of("s".repeat(4_096)));
-        hear(NEAR, 0, 0);
-        hear(FAR, 0, 0);
-        board.recordDispatch(session, FAR);
+        updateStatus(NEAR, 0, 0);
+        updateStatus(FAR, 0, 0);
+        tracker.recordDispatch(session, FAR);
         assertThat(choose(session, 0), is(FAR));
-        hear(FAR, 1, 5_000);
+        updateStatus(FAR, 1, 5_000);
         assertThat(choose(session, 0), is(not(FAR)));
     }
 
     @Test
-    void sliceWithoutTargetsIsLeftOut() {
-        board.updateStatus(SliceStatus.newBuilder().setSlice(NEAR).build(), 0);
-        hear(FAR, 1, 5_000);
+    void sliceWithoutTargetsIsSkipped() {
+        tracker.updateStatus(SliceStatus.newBuilder().setSlice(NEAR).build(), 0);
+        updateStatus(FAR, 1, 5_000);
         for (RoutingPolicy policy : RoutingPolicy.values()) {
-            assertThat(policy.choose(List.of(NEAR, FAR), SHORT, board, zone -> 0, random, 0), is(FAR));
+            assertThat(policy.choose(List.of(NEAR, FAR), SHORT, tracker, zone -> 0, random, 0), is(FAR));
         }
     }
 
     private SliceId choose(RoutingRequest request, long nowMillis) {
         return RoutingPolicy.AFFINITY.choose(
-                List.of(NEAR, FAR), request, board, zone -> zone.equals("zone-a") ? 0 : 5, random, nowMillis);
+                List.of(NEAR, FAR), request, tracker, zone -> zone.equals("zone-a") ? 0 : 5, random, nowMillis);
     }
 
-    private void hear(SliceId slice, int waiting, long waitMillis) {
-        board.updateStatus(
+    private void updateStatus(SliceId slice, int waiting, long waitMillis) {
+        tracker.updateStatus(
                 SliceStatus.newBuilder()
                         .setSlice(slice)
                         .setUsableTargets(1)
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Intake.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/CallerEvents.java
@@ -3,21 +3,21 @@
 import java.util.Comparator;
 import java.util.Optional;
 import org.whinwharf.errors.ErrorKind;
-import org.whinwharf.home.TicketTable.Seen;
+import org.whinwharf.home.TicketTable.NumberRecord;
 import org.whinwharf.ticket.NumberWindow;
 import org.whinwharf.ticket.Ticket;
 import org.whinwharf.wire.message.FinishKind;
 
 /** Takes requests on, finds the first attempt of a repeat, and handles callers that ask, cancel or go away. */
-final class Intake {
+final class CallerEvents {
     private final HomeState state;
-    private final Ending ending;
+    private final RequestCompletion completion;
     private final Queueing queueing;
     private final Delivery delivery;
 
-    Intake(HomeState state, Ending ending, Queueing queueing, Delivery delivery) {
+    CallerEvents(HomeState state, RequestCompletion completion, Queueing queueing, Delivery delivery) {
         this.state = state;
-        this.ending = ending;
+        this.completion = completion;
         this.queueing = queueing;
         this.delivery = delivery;
     }
@@ -25,111 +25,112 @@
     void submitted(long caller, Submission submission) {
         Optional<TicketNumber> numbered = submission.ticketNumber();
         if (numbered.isEmpty()) {
-            submittedOnce(caller, submission);
+            submittedWithoutTicket(caller, submission);
             return;
         }
-        Optional<Outcome> fault = ticketFault(numbered.get().ticket(), submission.organisation());
+        Optional<Outcome> fault = ticketError(numbered.get().ticket(), submission.organisation());
         if (fault.isPresent()) {
-            tell(caller, 0, fault.get());
+            sendError(caller, 0, fault.get());
             return;
         }
         submittedUnderTicket(caller, submission, numbered.get());
     }
 
     void rejoined(long caller, long sequence, String organisation, int fromIndex) {
-        Request request = state.live.get(sequence);
+        Request request = state.liveById.get(sequence);
         if (request != null && request.submission.organisation().equals(organisation)) {
-            delivery.join(request, caller, fromIndex);
+            delivery.addCaller(request, caller, fromIndex);
             return;
         }
-        tellEnded(caller, sequence, organisation, fromIndex);
+        sendEndedOutcome(caller, sequence, organisation, fromIndex);
     }
 
     void lookedUp(long caller, long sequence, String organisation) {
-        Request request = state.live.get(sequence);
+        Request request = state.liveById.get(sequence);
         if (request != null && request.submission.organisation().equals(organisation)) {
-            tellState(caller, request);
+            sendState(caller, request);
             return;
         }
-        HomeState.Ended ended = state.ended.get(sequence);
+        HomeState.Ended ended = state.endedById.get(sequence);
         if (ended == null || !ended.organisation().equals(organisation)) {
-            tellUnknown(caller, sequence);
+            sendUnknownRequest(caller, sequence);
             return;
         }
         state.emit(new HomeAction.AnswerState(caller, sequence, RequestPhase.ENDED, ended.outcome()));
     }
 
     void numberLookedUp(long caller, TicketNumber ticketNumber, String organisation) {
-        Optional<Outcome> fault = ticketFault(ticketNumber.ticket(), organisation);
+        Optional<Outcome> fault = ticketError(ticketNumber.ticket(), organisation);
         if (fault.isPresent()) {
-            tell(caller, 0, fault.get());
+            sendError(caller, 0, fault.get());
             return;
         }
-        Optional<Seen> seen =
+        Optional<NumberRecord> seen =
                 state.tickets.find(ticketNumber.ticket()).flatMap(window -> window.record(ticketNumber.number()));
         if (seen.isEmpty()) {
-            tellUnknown(caller, 0);
+            sendUnknownRequest(caller, 0);
             return;
         }
         lookedUp(caller, seen.get().sequence(), organisation);
     }
 
-    void cancelAsked(long caller, long sequence, String organisation) {
-        Request request = state.live.get(sequence);
+    void cancelRequested(long caller, long sequence, String organisation) {
+        Request request = state.liveById.get(sequence);
         if (request != null && request.submission.organisation().equals(organisation)) {
-            ending.cancel(request, ErrorKind.CANCELLED_WAITING, ErrorKind.CANCELLED_RUNNING);
+            completion.cancel(request, ErrorKind.CANCELLED_WAITING, ErrorKind.CANCELLED_RUNNING);
         }
         lookedUp(caller, sequence, organisation);
     }
 
-    void callerGone(long caller) {
+    void callerDisconnected(long caller) {
         Long sequence = state.requestOfCaller.remove(caller);
-        Request request = sequence == null ? null : state.live.get(sequence);
+        Request request = sequence == null ? null : state.liveById.get(sequence);
         if (request == null) {
             return;
         }
         request.callers.remove(caller);
         if (request.callers.isEmpty()) {
-            orphaned(request);
+            lastCallerDisconnected(request);
         }
     }
 
     void callerSlow(long caller) {
         if (state.requestOfCaller.containsKey(caller)) {
-            Outcome outcome = state.failed(ErrorKind.SLOW_CALLER, HomeText.get("the-caller-read-too-slowly"));
-            tell(caller, state.requestOfCaller.get(caller), outcome);
-            callerGone(caller);
+            Outcome outcome = state.failure(ErrorKind.SLOW_CALLER, HomeText.get("the-caller-read-too-slowly"));
+            sendError(caller, state.requestOfCaller.get(caller), outcome);
+            callerDisconnected(caller);
         }
     }
 
     /** Ends the grace of a request whose callers did not come back. */
-    void graceEnded(Request request) {
-        request.orphanEndsAtMillis = Long.MAX_VALUE;
-        if (!mustFinish(request)) {
-            ending.cancel(request, ErrorKind.CANCELLED_WAITING, ErrorKind.CANCELLED_RUNNING);
+    void rejoinGraceExpired(Request request) {
+        request.rejoinGraceEndsAtMillis = Long.MAX_VALUE;
+        if (!mustRunToCompletion(request)) {
+            completion.cancel(request, ErrorKind.CANCELLED_WAITING, ErrorKind.CANCELLED_RUNNING);
         }
     }
 
-    private void submittedOnce(long caller, Submission submission) {
+    private void submittedWithoutTicket(long caller, Submission submission) {
         if (!submission.isIdempotent()) {
-            tell(caller, 0, state.failed(ErrorKind.TICKET_REQUIRED, HomeText.get("the-call-may-not-be-repeated")));
+            sendError(
+                    caller, 0, state.failure(ErrorKind.TICKET_REQUIRED, HomeText.get("the-call-may-not-be-repeated")));
             return;
         }
-        Optional<Outcome> obstacle = obstacle(submission);
+        Optional<Outcome> obstacle = admissionError(submission);
         if (obstacle.isPresent()) {
-            tell(caller, state.nextSequence(), obstacle.get());
+            sendError(caller, state.nextSequence(), obstacle.get());
             return;
         }
         accept(caller, submission, state.nextSequence());
     }
 
     private void submittedUnderTicket(long caller, Submission submission, TicketNumber numbered) {
-        Optional<NumberWindow<Seen>> window = state.tickets.open(numbered.ticket());
+        Optional<NumberWindow<NumberRecord>> window = state.tickets.open(numbered.ticket());
         if (window.isEmpty()) {
-            tell(
+            sendError(
                     caller,
                     0,
-                    state.failed(ErrorKind.HOST_FULL, HomeText.get("too-many-tickets-ask-for-addresses-again")));
+                    state.failure(ErrorKind.HOST_FULL, HomeText.get("too-many-tickets-ask-for-addresses-again")));
             return;
         }
         if (window.get().isSeen(numbered.number())) {
@@ -137,16 +138,19 @@
             return;
         }
         long sequence = state.nextSequence();
-        if (!window.get().take(numbered.number(), new Seen(sequence, submission.contentDigest()))) {
-            tell(caller, 0, state.failed(ErrorKind.BAD_VALUE, HomeText.get("too-many-gaps-in-the-numbers-take-a-new")));
+        if (!window.get().take(numbered.number(), new NumberRecord(sequence, submission.contentDigest()))) {
+            sendError(
+                    caller,
+                    0,
+                    state.failure(ErrorKind.BAD_VALUE, HomeText.get("too-many-gaps-in-the-numbers-take-a-new")));
             return;
         }
-        Optional<Outcome> obstacle = obstacle(submission);
+        Optional<Outcome> obstacle = admissionError(submission);
         if (obstacle.isPresent()) {
             // The number is used up by this refusal. A copy of the request that comes late over another path must
             // not run after its caller was told that it did not.
             state.recordEnded(sequence, submission, obstacle.get());
-            tell(caller, sequence, obstacle.get());
+            sendError(caller, sequence, obstacle.get());
             return;
         }
         accept(caller, submission, sequence);
@@ -154,119 +158,120 @@
 
     private void accept(long caller, Submission submission, long sequence) {
         Request request = new Request(sequence, submission, state.nowMillis);
-        state.live.put(sequence, request);
-        state.budget.fresh(state.view.retryRatio());
+        state.liveById.put(sequence, request);
+        state.retryBudget.recordNewRequest(state.view.retryRatio());
         state.note(
                 request, HomeNote.ACCEPTED, HomeText.get("accepted", submission.service(), submission.organisation()));
-        delivery.join(request, caller, submission.fromIndex());
-        state.schedule(request);
+        delivery.addCaller(request, caller, submission.fromIndex());
+        state.scheduleTimer(request);
         queueing.place(request);
     }
 
-    private void repeated(long caller, Submission submission, Optional<Seen> seen) {
+    private void repeated(long caller, Submission submission, Optional<NumberRecord> seen) {
         if (seen.isEmpty()) {
-            tellUnknown(caller, 0);
+            sendUnknownRequest(caller, 0);
             return;
         }
         if (seen.get().contentDigest() != submission.contentDigest()) {
             Outcome reused =
-                    state.failed(ErrorKind.NUMBER_REUSED, HomeText.get("the-number-stands-for-another-request"));
-            tell(caller, seen.get().sequence(), reused);
+                    state.failure(ErrorKind.NUMBER_REUSED, HomeText.get("the-number-stands-for-another-request"));
+            sendError(caller, seen.get().sequence(), reused);
             return;
         }
-        Request request = state.live.get(seen.get().sequence());
+        Request request = state.liveById.get(seen.get().sequence());
         if (request != null) {
             state.note(request, HomeNote.JOINED, "");
         }
         rejoined(caller, seen.get().sequence(), submission.organisation(), submission.fromIndex());
     }
 
-    private void tellEnded(long caller, long sequence, String organisation, int fromIndex) {
-        HomeState.Ended ended = state.ended.get(sequence);
+    private void sendEndedOutcome(long caller, long sequence, String organisation, int fromIndex) {
+        HomeState.Ended ended = state.endedById.get(sequence);
         if (ended == null || !ended.organisation().equals(organisation)) {
-            tellUnknown(caller, sequence);
+            sendUnknownRequest(caller, sequence);
         } else if (ended.outcome().error().isPresent()) {
-            tell(caller, sequence, ended.outcome());
+            sendError(caller, sequence, ended.outcome());
         } else {
             state.emit(new HomeAction.ReplayAnswer(caller, sequence, fromIndex, ended.outcome()));
         }
     }
 
-    private Optional<Outcome> ticketFault(Ticket ticket, String organisation) {
+    private Optional<Outcome> ticketError(Ticket ticket, String organisation) {
         boolean isOurs = ticket.home().equals(state.settings.host());
         if (!isOurs || !ticket.organisation().equals(organisation)) {
-            return Optional.of(state.failed(ErrorKind.BAD_TICKET, HomeText.get("the-ticket-belongs-to-somebody-else")));
+            return Optional.of(
+                    state.failure(ErrorKind.BAD_TICKET, HomeText.get("the-ticket-belongs-to-somebody-else")));
         }
         if (ticket.incarnation() != state.settings.incarnation()) {
-            return Optional.of(state.failed(ErrorKind.HOME_RESTARTED, HomeText.get("the-home-was-restarted")));
+            return Optional.of(state.failure(ErrorKind.HOME_RESTARTED, HomeText.get("the-home-was-restarted")));
         }
         if (ticket.expiresAtMillis() <= state.nowMillis) {
-            return Optional.of(state.failed(ErrorKind.TICKET_EXPIRED, HomeText.get("the-ticket-has-run-out")));
+            return Optional.of(state.failure(ErrorKind.TICKET_EXPIRED, HomeText.get("the-ticket-has-run-out")));
         }
         return Optional.empty();
     }
 
-    private Optional<Outcome> obstacle(Submission submission) {
+    private Optional<Outcome> admissionError(Submission submission) {
         if (state.leaving) {
-            return Optional.of(state.failed(ErrorKind.HOST_LEAVING, HomeText.get("this-host-is-leaving")));
+            return Optional.of(state.failure(ErrorKind.HOST_LEAVING, HomeText.get("this-host-is-leaving")));
         }
         if (!state.view.isInService(state.settings.dataCentre())) {
             return Optional.of(
-                    state.failed(ErrorKind.HOST_LEAVING, HomeText.get("this-data-centre-is-out-of-service")));
+                    state.failure(ErrorKind.HOST_LEAVING, HomeText.get("this-data-centre-is-out-of-service")));
         }
-        if (state.live.size() >= state.settings.maxRequests() && !makeRoom(submission.tierRank())) {
+        if (state.liveById.size() >= state.settings.maxRequests() && !shedLowerTier(submission.tierRank())) {
             return Optional.of(
-                    state.failed(ErrorKind.HOST_FULL, HomeText.get("this-host-holds-all-the-requests-it-can")));
+                    state.failure(ErrorKind.HOST_FULL, HomeText.get("this-host-holds-all-the-requests-it-can")));
         }
         return Optional.empty();
     }
 
     // A full host must not turn a ranger away while it keeps a lower tier waiting. What was sent stays.
-    private boolean makeRoom(int tierRank) {
-        Optional<Request> lowest = state.live.values().stream()
+    private boolean shedLowerTier(int tierRank) {
+        Optional<Request> lowest = state.liveById.values().stream()
                 .filter(request -> request.phase == RequestPhase.WAITING)
                 .filter(request -> request.submission.tierRank() < tierRank)
                 .min(Comparator.comparingInt(request -> request.submission.tierRank()));
-        lowest.ifPresent(request -> ending.end(
+        lowest.ifPresent(request -> completion.end(
                 request,
-                state.failed(ErrorKind.SHED, HomeText.get("a-higher-tier-needs-the-room")),
+                state.failure(ErrorKind.SHED, HomeText.get("a-higher-tier-needs-the-room")),
                 FinishKind.UNUSED));
         return lowest.isPresent();
     }
 
-    private void orphaned(Request request) {
+    private void lastCallerDisconnected(Request request) {
         state.note(request, HomeNote.CALLERS_GONE, "");
-        if (mustFinish(request)) {
+        if (mustRunToCompletion(request)) {
             return;
         }
         if (request.submission.ticketNumber().isEmpty()) {
-            ending.cancel(request, ErrorKind.CANCELLED_WAITING, ErrorKind.CANCELLED_RUNNING);
+            completion.cancel(request, ErrorKind.CANCELLED_WAITING, ErrorKind.CANCELLED_RUNNING);
             return;
         }
-        request.orphanEndsAtMillis = state.nowMillis + state.settings.rejoinGraceMillis();
-        state.schedule(request);
+        request.rejoinGraceEndsAtMillis = state.nowMillis + state.settings.rejoinGraceMillis();
+        state.scheduleTimer(request);
     }
 
     // A call that may not be repeated and is under way goes on to its end: its caller will ask what became of it, and
     // only a whole answer tells.
-    private static boolean mustFinish(Request request) {
+    private static boolean mustRunToCompletion(Request request) {
         return !request.submission.isIdempotent() && request.phase != RequestPhase.WAITING;
     }
 
-    private void tellState(long caller, Request request) {
-        String target = request.place == null ? "" : request.place.target();
+    private void sendState(long caller, Request request) {
+        String target = request.location == null ? "" : request.location.target();
         Outcome soFar = Outcome.completed(target, request.assembler.nextIndex());
         state.emit(new HomeAction.AnswerState(caller, request.sequence, request.phase, soFar));
     }
 
-    private void tellUnknown(long caller, long sequence) {
-        tell(
+    private void sendUnknownRequest(long caller, long sequence) {
+        sendError(
                 caller,
                 sequence,
-                state.failed(ErrorKind.UNKNOWN_REQUEST, HomeText.get("nothing-is-known-of-this-request")));
+                state.failure(ErrorKind.UNKNOWN_REQUEST, HomeText.get("nothing-is-known-of-this-request")));
     }
 
-    private void tell(long caller, long sequence, Outcome outcome) {
+    private void sendError(long caller, long sequence, Outcome outcome) {
         state.emit(new HomeAction.AnswerError(caller, sequence, outcome));
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Delivery.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Delivery.java
@@ -10,13 +10,13 @@
 /** Handles what comes from targets, and gives callers the answer in order. */
 final class Delivery {
     private final HomeState state;
-    private final Ending ending;
+    private final RequestCompletion completion;
     private final Queueing queueing;
     private final UniformRandomProvider random;
 
-    Delivery(HomeState state, Ending ending, Queueing queueing, UniformRandomProvider random) {
+    Delivery(HomeState state, RequestCompletion completion, Queueing queueing, UniformRandomProvider random) {
         this.state = state;
-        this.ending = ending;
+        this.completion = completion;
         this.queueing = queueing;
         this.random = random;
     }
@@ -27,9 +27,9 @@
         }
         request.phase = RequestPhase.SENT;
         request.sentAtMillis = state.nowMillis;
-        state.board.recordDispatch(request.routing, request.grant.getSlice());
-        state.note(request, HomeNote.SENT, request.place.target());
-        request.callers.keySet().forEach(caller -> head(caller, request));
+        state.sliceTracker.recordDispatch(request.routing, request.grant.getSlice());
+        state.note(request, HomeNote.SENT, request.location.target());
+        request.callers.keySet().forEach(caller -> sendHead(caller, request));
     }
 
     void connectFailed(Request request) {
@@ -46,7 +46,7 @@
         if (request.phase != RequestPhase.SENT) {
             return;
         }
-        ending.fail(
+        completion.fail(
                 request,
                 ErrorKind.TARGET_REFUSED,
                 HomeText.get("the-target-has-no-room"),
@@ -56,26 +56,26 @@
     void targetFailed(Request request, int status) {
         sent(request);
         if (request.wasSent()) {
-            ending.fail(request, ErrorKind.TARGET_FAILED, HomeText.get("status", status), FinishKind.FAILED);
+            completion.fail(request, ErrorKind.TARGET_FAILED, HomeText.get("status", status), FinishKind.FAILED);
         }
     }
 
-    void token(Request request, StreamToken token) {
+    void tokenReceived(Request request, StreamToken token) {
         sent(request);
         if (!request.wasSent()) {
             return;
         }
         List<StreamToken> ready = request.assembler.accept(token);
         if (!ready.isEmpty()) {
-            progress(request, ready.get(0));
-            ready.forEach(next -> pass(request, next));
+            recordProgress(request, ready.get(0));
+            ready.forEach(next -> forwardToken(request, next));
         }
         if (request.assembler.isComplete()) {
-            ending.complete(request, Answer.ofTexts(request.assembler.texts()));
+            completion.complete(request, Answer.ofTexts(request.assembler.texts()));
         } else if (request.assembler.hasGap() && !request.gapResumed) {
             // A token is missing although later ones came. Without asking again the caller would wait for ever.
             request.gapResumed = true;
-            resume(request, 0, HomeText.get("token-missing", request.assembler.nextIndex()));
+            resumeStream(request, 0, HomeText.get("token-missing", request.assembler.nextIndex()));
         }
     }
 
@@ -87,10 +87,10 @@
         Answer answer = new Answer(List.of(), status, contentType, body);
         for (long caller : request.callers.keySet()) {
             state.requestOfCaller.remove(caller);
-            state.emit(new HomeAction.AnswerBody(caller, request.sequence, request.place.target(), answer));
+            state.emit(new HomeAction.AnswerBody(caller, request.sequence, request.location.target(), answer));
         }
         request.callers.clear();
-        ending.complete(request, answer);
+        completion.complete(request, answer);
     }
 
     void streamBroken(Request request, String reason) {
@@ -101,41 +101,41 @@
         boolean mayResume =
                 request.submission.isEngine() && request.resumeAttempts < state.settings.maxResumeAttempts();
         if (!mayResume) {
-            lost(request, reason);
+            failAsLost(request, reason);
             return;
         }
         long delayMillis = backoffMillis(request.resumeAttempts);
         request.resumeAttempts++;
-        resume(request, delayMillis, reason);
+        resumeStream(request, delayMillis, reason);
     }
 
     void streamUnknown(Request request) {
         if (request.wasSent()) {
-            lost(request, HomeText.get("the-target-does-not-know-the-stream"));
+            failAsLost(request, HomeText.get("the-target-does-not-know-the-stream"));
         }
     }
 
     /** Lets a caller have the answer from an index on. */
-    void join(Request request, long caller, int fromIndex) {
+    void addCaller(Request request, long caller, int fromIndex) {
         request.callers.put(caller, fromIndex);
         state.requestOfCaller.put(caller, request.sequence);
-        request.orphanEndsAtMillis = Long.MAX_VALUE;
+        request.rejoinGraceEndsAtMillis = Long.MAX_VALUE;
         if (!request.wasSent()) {
             return;
         }
-        head(caller, request);
+        sendHead(caller, request);
         List<String> texts = request.assembler.texts();
         for (int index = fromIndex; index < texts.size(); index++) {
-            give(request, caller, index, texts.get(index));
+            sendToken(request, caller, index, texts.get(index));
         }
     }
 
-    private void head(long caller, Request request) {
+    private void sendHead(long caller, Request request) {
         String organisation = request.submission.organisation();
-        state.emit(new HomeAction.AnswerHead(caller, request.sequence, request.place, organisation));
+        state.emit(new HomeAction.AnswerHead(caller, request.sequence, request.location, organisation));
     }
 
-    private void progress(Request request, StreamToken first) {
+    private void recordProgress(Request request, StreamToken first) {
         request.resumeAttempts = 0;
         request.gapResumed = false;
         if (request.phase == RequestPhase.SENT) {
@@ -147,13 +147,13 @@
         }
     }
 
-    private void pass(Request request, StreamToken token) {
+    private void forwardToken(Request request, StreamToken token) {
         for (long caller : List.copyOf(request.callers.keySet())) {
-            give(request, caller, token.getIndex(), token.getText());
+            sendToken(request, caller, token.getIndex(), token.getText());
         }
     }
 
-    private void give(Request request, long caller, int index, String text) {
+    private void sendToken(Request request, long caller, int index, String text) {
         if (index < request.callers.get(caller)) {
             return;
         }
@@ -161,15 +161,15 @@
         state.emit(new HomeAction.AnswerToken(caller, index, text));
     }
 
-    private void resume(Request request, long delayMillis, String reason) {
+    private void resumeStream(Request request, long delayMillis, String reason) {
         state.note(request, HomeNote.RESUMED, reason);
         int fromIndex = request.assembler.nextIndex();
-        state.emit(new HomeAction.ResumeStream(request.sequence, request.place, fromIndex, delayMillis));
+        state.emit(new HomeAction.ResumeStream(request.sequence, request.location, fromIndex, delayMillis));
     }
 
-    private void lost(Request request, String reason) {
-        state.emit(new HomeAction.CancelAtTarget(request.sequence, request.place, request.submission.isEngine()));
-        ending.fail(request, ErrorKind.TARGET_LOST, reason, FinishKind.LOST);
+    private void failAsLost(Request request, String reason) {
+        state.emit(new HomeAction.CancelAtTarget(request.sequence, request.location, request.submission.isEngine()));
+        completion.fail(request, ErrorKind.TARGET_LOST, reason, FinishKind.LOST);
     }
 
     // The first attempt comes at once; later ones are spread, so that all streams of a target that came back do not
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Home.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Home.java
@@ -17,8 +17,8 @@
     private final HomeState state;
     private final Queueing queueing;
     private final Delivery delivery;
-    private final Intake intake;
-    private final Ending ending;
+    private final CallerEvents callerEvents;
+    private final RequestCompletion completion;
     private final HomeEventHandler handler = new Dispatcher();
 
     /**
@@ -32,10 +32,10 @@
     public Home(HomeSettings settings, HomeView view, RoutingPolicy policy, UniformRandomProvider random) {
         state = new HomeState(settings, view);
         OwnerLinks owners = new OwnerLinks(state);
-        ending = new Ending(state, owners);
-        queueing = new Queueing(state, owners, ending, policy, random);
-        delivery = new Delivery(state, ending, queueing, random);
-        intake = new Intake(state, ending, queueing, delivery);
+        completion = new RequestCompletion(state, owners);
+        queueing = new Queueing(state, owners, completion, policy, random);
+        delivery = new Delivery(state, completion, queueing, random);
+        callerEvents = new CallerEvents(state, completion, queueing, delivery);
     }
 
     /**
@@ -57,7 +57,7 @@
      * @return count
      */
     public int waitingCount() {
-        return (int) state.live.values().stream()
+        return (int) state.liveById.values().stream()
                 .filter(request -> request.phase.isBeforeSending())
                 .count();
     }
@@ -68,7 +68,7 @@
      * @return count
      */
     public int liveCount() {
-        return state.live.size();
+        return state.liveById.size();
     }
 
     /**
@@ -83,61 +83,61 @@
 
     private void withLive(long sequence, Consumer<Request> work) {
         // What comes for a request that has ended is late news and changes nothing.
-        Request request = state.live.get(sequence);
+        Request request = state.liveById.get(sequence);
         if (request != null) {
             work.accept(request);
         }
     }
 
-    private void due(Request request) {
+    private void handleTimer(Request request) {
         if (state.nowMillis >= request.deadlineAtMillis) {
-            ending.cancel(request, ErrorKind.DEADLINE_WAITING, ErrorKind.DEADLINE_RUNNING);
-        } else if (state.nowMillis >= request.orphanEndsAtMillis) {
-            intake.graceEnded(request);
+            completion.cancel(request, ErrorKind.DEADLINE_WAITING, ErrorKind.DEADLINE_RUNNING);
+        } else if (state.nowMillis >= request.rejoinGraceEndsAtMillis) {
+            callerEvents.rejoinGraceExpired(request);
         } else if (state.nowMillis >= request.retryAtMillis) {
             queueing.retry(request);
         } else if (state.nowMillis >= request.reconsiderAtMillis) {
-            queueing.reconsider(request);
+            queueing.moveToBetterSlice(request);
         }
         if (request.phase != RequestPhase.ENDED) {
-            state.schedule(request);
+            state.scheduleTimer(request);
         }
     }
 
     private final class Dispatcher implements HomeEventHandler {
         @Override
         public void on(HomeEvent.Submitted event) {
-            intake.submitted(event.caller(), event.submission());
+            callerEvents.submitted(event.caller(), event.submission());
         }
 
         @Override
         public void on(HomeEvent.Rejoined event) {
-            intake.rejoined(event.caller(), event.sequence(), event.organisation(), event.fromIndex());
+            callerEvents.rejoined(event.caller(), event.sequence(), event.organisation(), event.fromIndex());
         }
 
         @Override
         public void on(HomeEvent.LookedUp event) {
-            intake.lookedUp(event.caller(), event.sequence(), event.organisation());
+            callerEvents.lookedUp(event.caller(), event.sequence(), event.organisation());
         }
 
         @Override
         public void on(HomeEvent.NumberLookedUp event) {
-            intake.numberLookedUp(event.caller(), event.ticketNumber(), event.organisation());
+            callerEvents.numberLookedUp(event.caller(), event.ticketNumber(), event.organisation());
         }
 
         @Override
         public void on(HomeEvent.CancelRequested event) {
-            intake.cancelAsked(event.caller(), event.sequence(), event.organisation());
+            callerEvents.cancelRequested(event.caller(), event.sequence(), event.organisation());
         }
 
         @Override
         public void on(HomeEvent.CallerDisconnected event) {
-            intake.callerGone(event.caller());
+            callerEvents.callerDisconnected(event.caller());
         }
 
         @Override
         public void on(HomeEvent.CallerSlow event) {
-            intake.callerSlow(event.caller());
+            callerEvents.callerSlow(event.caller());
         }
 
         @Override
@@ -157,17 +157,17 @@
 
         @Override
         public void on(HomeEvent.StatusReceived event) {
-            state.board.updateStatus(event.status(), state.nowMillis);
+            state.sliceTracker.updateStatus(event.status(), state.nowMillis);
         }
 
         @Override
         public void on(HomeEvent.OwnerConnected event) {
-            queueing.ownerUp(event.owner());
+            queueing.ownerConnected(event.owner());
         }
 
         @Override
         public void on(HomeEvent.OwnerDisconnected event) {
-            queueing.ownerDown(event.owner());
+            queueing.ownerDisconnected(event.owner());
         }
 
         @Override
@@ -203,7 +203,7 @@
 
         @Override
         public void on(HomeEvent.TokenReceived event) {
-            withLive(event.sequence(), request -> delivery.token(request, event.token()));
+            withLive(event.sequence(), request -> delivery.tokenReceived(request, event.token()));
         }
 
         @Override
@@ -231,7 +231,7 @@
         @Override
         public void on(HomeEvent.Ticked event) {
             state.tickets.expire(state.nowMillis);
-            state.takeDue().forEach(Home.this::due);
+            state.takeRequestsWithExpiredTimer().forEach(Home.this::handleTimer);
         }
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeState.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeState.java
@@ -13,17 +13,17 @@
 /** State that the parts of a home share while they handle an event. */
 final class HomeState {
     final HomeSettings settings;
-    final SliceTracker board = new SliceTracker();
-    final RetryBudget budget = new RetryBudget();
+    final SliceTracker sliceTracker = new SliceTracker();
+    final RetryBudget retryBudget = new RetryBudget();
     final TicketTable tickets;
-    final Map<Long, Request> live = new LinkedHashMap<>();
+    final Map<Long, Request> liveById = new LinkedHashMap<>();
     final Map<Long, Long> requestOfCaller = new HashMap<>();
-    final Map<Long, Ended> ended;
+    final Map<Long, Ended> endedById;
     HomeView view;
     boolean leaving;
     long nowMillis;
 
-    private final PriorityQueue<Due> dues = new PriorityQueue<>();
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private List<HomeAction> actions = new ArrayList<>();
     private long lastSequence;
 
@@ -31,7 +31,7 @@
         this.settings = settings;
         this.view = view;
         tickets = new TicketTable(settings.maxTickets());
-        ended = new LinkedHashMap<>() {
+        endedById = new LinkedHashMap<>() {
             private static final long serialVersionUID = 1L;
 
             @Override
@@ -63,19 +63,19 @@
         return new RequestId(settings.host(), settings.incarnation(), sequence).toString();
     }
 
-    Outcome failed(ErrorKind kind, String detail) {
+    Outcome failure(ErrorKind kind, String detail) {
         return Outcome.failed(kind, detail, settings.defaultRetryAfterMillis(), "");
     }
 
-    void schedule(Request request) {
-        dues.add(new Due(request.nextDueMillis(), request.sequence));
+    void scheduleTimer(Request request) {
+        timers.add(new Timer(request.nextTimerMillis(), request.sequence));
     }
 
     /** Returns the live requests for which something is due, each of them once, and forgets those dues. */
-    List<Request> takeDue() {
+    List<Request> takeRequestsWithExpiredTimer() {
         Map<Long, Request> due = new LinkedHashMap<>();
-        while (!dues.isEmpty() && dues.peek().atMillis() <= nowMillis) {
-            Request request = live.get(dues.poll().sequence());
+        while (!timers.isEmpty() && timers.peek().atMillis() <= nowMillis) {
+            Request request = liveById.get(timers.poll().sequence());
             if (request != null) {
                 due.put(request.sequence, request);
             }
@@ -84,19 +84,19 @@
     }
 
     List<Request> liveRequests() {
-        return List.copyOf(live.values());
+        return List.copyOf(liveById.values());
     }
 
     void recordEnded(long sequence, Submission submission, Outcome outcome) {
-        ended.put(sequence, new Ended(submission.organisation(), outcome));
+        endedById.put(sequence, new Ended(submission.organisation(), outcome));
     }
 
     /** What stays known of an ended request. */
     record Ended(String organisation, Outcome outcome) {}
 
-    private record Due(long atMillis, long sequence) implements Comparable<Due> {
+    private record Timer(long atMillis, long sequence) implements Comparable<Timer> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(Timer other) {
             return Long.compare(atMillis, other.atMillis);
         }
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/home/OwnerLinks.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/OwnerLinks.java
@@ -16,37 +16,37 @@
 /** What a home says to the owners of slices, and which of them it can reach. */
 final class OwnerLinks {
     private final HomeState state;
-    private final Set<String> linked = new HashSet<>();
-    private final Set<Greeting> greeted = new HashSet<>();
+    private final Set<String> connectedOwners = new HashSet<>();
+    private final Set<OwnedSlice> inFlightReported = new HashSet<>();
 
     OwnerLinks(HomeState state) {
         this.state = state;
     }
 
-    void up(String owner) {
-        linked.add(owner);
-        greeted.removeIf(greeting -> greeting.owner().equals(owner));
+    void connected(String owner) {
+        connectedOwners.add(owner);
+        inFlightReported.removeIf(greeting -> greeting.owner().equals(owner));
     }
 
-    void down(String owner) {
-        linked.remove(owner);
+    void disconnected(String owner) {
+        connectedOwners.remove(owner);
     }
 
     void viewChanged() {
         // An owner that lost a slice and got it back has forgotten what is in flight there.
-        greeted.clear();
+        inFlightReported.clear();
     }
 
     /** Returns the host to ask for a slice; nothing when it can't be reached. */
-    Optional<String> reachable(SliceId slice, Set<String> refusing) {
+    Optional<String> connectedOwner(SliceId slice, Set<String> refusing) {
         return state.view.owners(slice).stream()
                 .filter(owner -> !refusing.contains(owner))
                 .findFirst()
-                .filter(linked::contains);
+                .filter(connectedOwners::contains);
     }
 
-    void tell(String owner, Frame frame) {
-        if (linked.contains(owner)) {
+    void send(String owner, Frame frame) {
+        if (connectedOwners.contains(owner)) {
             state.emit(new HomeAction.SendToOwner(owner, frame));
         }
     }
@@ -65,16 +65,16 @@
                 .addAllPrefixes(submission.prefixes())
                 .setLeftMillis(request.deadlineAtMillis - state.nowMillis)
                 .setSentAtMillis(state.nowMillis);
-        if (greeted.add(new Greeting(owner, slice))) {
+        if (inFlightReported.add(new OwnedSlice(owner, slice))) {
             enqueue.addAllInFlight(inFlight(slice, owner));
         }
         request.slice = slice;
         request.owner = owner;
         request.queuedAtMillis = state.nowMillis;
         request.reconsiderAtMillis = state.nowMillis + state.settings.reconsiderIntervalMillis();
-        state.board.recordQueued(slice);
-        state.schedule(request);
-        tell(owner, Frame.newBuilder().setEnqueue(enqueue).build());
+        state.sliceTracker.recordQueued(slice);
+        state.scheduleTimer(request);
+        send(owner, Frame.newBuilder().setEnqueue(enqueue).build());
         state.note(request, HomeNote.ENQUEUED, HomeText.get("enqueued", owner, name(slice)));
     }
 
@@ -86,7 +86,7 @@
                 .setTarget(grant.getTarget())
                 .setKind(FinishKind.UNUSED)
                 .build();
-        tell(owner, Frame.newBuilder().setFinished(finished).build());
+        send(owner, Frame.newBuilder().setFinished(finished).build());
     }
 
     void finished(Request request, FinishKind kind, long nowMillis) {
@@ -110,9 +110,9 @@
         // Another host may own the slice by now and count this request since the list of those in flight. The view may
         // still name the host that leaves: were the one that got the list not told, it would hold the place for ever,
         // which shows as requests that wait at idle targets.
-        counting.addAll(request.countingOwners);
-        reachable(grant.getSlice(), Set.of()).ifPresent(counting::add);
-        counting.forEach(owner -> tell(owner, frame));
+        counting.addAll(request.ownersCountingInFlight);
+        connectedOwner(grant.getSlice(), Set.of()).ifPresent(counting::add);
+        counting.forEach(owner -> send(owner, frame));
     }
 
     static String name(SliceId slice) {
@@ -120,10 +120,10 @@
     }
 
     private List<InFlight> inFlight(SliceId slice, String owner) {
-        return state.live.values().stream()
+        return state.liveById.values().stream()
                 .filter(request ->
                         request.grant != null && request.grant.getSlice().equals(slice))
-                .peek(request -> request.countingOwners.add(owner))
+                .peek(request -> request.ownersCountingInFlight.add(owner))
                 .map(OwnerLinks::inFlight)
                 .toList();
     }
@@ -135,5 +135,5 @@
                 .build();
     }
 
-    private record Greeting(String owner, SliceId slice) {}
+    private record OwnedSlice(String owner, SliceId slice) {}
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Queueing.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Queueing.java
@@ -16,14 +16,19 @@
 final class Queueing {
     private final HomeState state;
     private final OwnerLinks owners;
-    private final Ending ending;
+    private final RequestCompletion completion;
     private final RoutingPolicy policy;
     private final UniformRandomProvider random;
 
-    Queueing(HomeState state, OwnerLinks owners, Ending ending, RoutingPolicy policy, UniformRandomProvider random) {
+    Queueing(
+            HomeState state,
+            OwnerLinks owners,
+            RequestCompletion completion,
+            RoutingPolicy policy,
+            UniformRandomProvider random) {
         this.state = state;
         this.owners = owners;
-        this.ending = ending;
+        this.completion = completion;
         this.policy = policy;
         this.random = random;
     }
@@ -32,20 +37,21 @@
     void place(Request request) {
         request.retryAtMillis = Long.MAX_VALUE;
         List<SliceId> inService = inService(request);
-        if (request.barrenSlices.containsAll(inService)) {
-            Outcome outcome = state.failed(ErrorKind.NO_TARGET, HomeText.get("no-target-of-the-service-may-be-used"));
-            ending.end(request, outcome, FinishKind.UNUSED);
+        if (request.slicesWithoutTarget.containsAll(inService)) {
+            Outcome outcome = state.failure(ErrorKind.NO_TARGET, HomeText.get("no-target-of-the-service-may-be-used"));
+            completion.end(request, outcome, FinishKind.UNUSED);
             return;
         }
         List<SliceId> open = inService.stream()
                 .filter(slice -> !request.excludedSlices.contains(slice))
-                .filter(slice -> !request.barrenSlices.contains(slice))
-                .filter(slice -> owners.reachable(slice, request.refusingOwners).isPresent())
+                .filter(slice -> !request.slicesWithoutTarget.contains(slice))
+                .filter(slice ->
+                        owners.connectedOwner(slice, request.refusingOwners).isPresent())
                 .toList();
         if (open.isEmpty()) {
             request.retryAtMillis = state.nowMillis + state.settings.placementRetryIntervalMillis();
             state.note(request, HomeNote.UNPLACED, HomeText.get("no-owner-can-be-reached"));
-            state.schedule(request);
+            state.scheduleTimer(request);
             return;
         }
         enqueue(request, choose(request, open));
@@ -53,35 +59,35 @@
 
     /** Starts another round for a request that found no owner. */
     void retry(Request request) {
-        request.beginRound();
+        request.clearExclusions();
         place(request);
     }
 
     /** Moves a request that waits long to a slice with room, or to one that serves its tier sooner, if there is one. */
-    void reconsider(Request request) {
+    void moveToBetterSlice(Request request) {
         request.reconsiderAtMillis = state.nowMillis + state.settings.reconsiderIntervalMillis();
         long waitedMillis = state.nowMillis - request.queuedAtMillis;
-        state.board.recordStall(request.slice, waitedMillis, state.nowMillis);
+        state.sliceTracker.recordStall(request.slice, waitedMillis, state.nowMillis);
         SliceId present = request.slice;
-        Optional<SliceId> other = otherWithRoom(request)
-                .or(() -> otherWithShorterWait(request, waitedMillis))
+        Optional<SliceId> other = alternativeWithSlots(request)
+                .or(() -> alternativeWithShorterWait(request, waitedMillis))
                 .filter(slice -> !slice.equals(present));
-        if (other.isPresent() && !state.board.hasAvailableSlots(present, state.nowMillis)) {
-            ending.withdraw(request);
+        if (other.isPresent() && !state.sliceTracker.hasAvailableSlots(present, state.nowMillis)) {
+            completion.withdraw(request);
             enqueue(request, other.get());
         }
     }
 
     void granted(String owner, Grant grant) {
-        state.board.recordGrant(grant.getSlice());
-        Request request = state.live.get(grant.getRequest());
-        if (request == null || !isAwaited(request, owner, grant)) {
+        state.sliceTracker.recordGrant(grant.getSlice());
+        Request request = state.liveById.get(grant.getRequest());
+        if (request == null || !isExpected(request, owner, grant)) {
             owners.returnUnused(owner, grant);
             return;
         }
         request.leaveQueue();
         long grantEndsMillis = grant.getEchoMillis() + grant.getGoodMillis();
-        Optional<String> obstacle = obstacle(request, grant, grantEndsMillis);
+        Optional<String> obstacle = grantError(request, grant, grantEndsMillis);
         if (obstacle.isPresent()) {
             state.note(request, HomeNote.GRANT_RETURNED, obstacle.get());
             owners.returnUnused(owner, grant);
@@ -108,25 +114,25 @@
         owners.finished(request, FinishKind.FAILED, state.nowMillis);
         request.dropGrant();
         request.phase = RequestPhase.WAITING;
-        if (state.budget.tryRetry(state.view.retryFloorPerSecond(), state.nowMillis)) {
+        if (state.retryBudget.tryAcquire(state.view.retryFloorPerSecond(), state.nowMillis)) {
             requeue(request);
         } else {
             // Turning it away would shed a high tier while lower ones wait. It waits instead, so that many dead targets
             // at once do not make a storm of messages.
             request.retryAtMillis = state.nowMillis + state.settings.defaultRetryAfterMillis();
-            state.schedule(request);
+            state.scheduleTimer(request);
         }
     }
 
     void recalled(Recall recall) {
-        Request request = state.live.get(recall.getRequest());
+        Request request = state.liveById.get(recall.getRequest());
         if (request != null && request.grant != null && request.grant.getGrant() == recall.getGrant()) {
             notSent(request, HomeText.get("the-owner-called-the-grant-back"));
         }
     }
 
     void refused(String owner, Refusal refusal) {
-        Request request = state.live.get(refusal.getRequest());
+        Request request = state.liveById.get(refusal.getRequest());
         if (request == null
                 || !owner.equals(request.owner)
                 || !refusal.getSlice().equals(request.slice)) {
@@ -141,24 +147,24 @@
         switch (refusal.getReason()) {
             case NOT_OWNER -> placeElsewhere(request, request.excludedSlices, slice);
             case OWNER_LEAVING -> placeElsewhere(request, request.refusingOwners, owner);
-            case NO_TARGET -> placeElsewhere(request, request.barrenSlices, slice);
-            case SHED -> tryOnceElsewhere(request, slice, ErrorKind.SHED, HomeText.get("no-room"), refusal);
+            case NO_TARGET -> placeElsewhere(request, request.slicesWithoutTarget, slice);
+            case SHED -> retryOnceElsewhere(request, slice, ErrorKind.SHED, HomeText.get("no-room"), refusal);
             // One owner's queue being too long says nothing of the others, which may keep lower tiers.
             case HOPELESS ->
-                tryOnceElsewhere(
+                retryOnceElsewhere(
                         request, slice, ErrorKind.HOPELESS, HomeText.get("the-deadline-cannot-be-met"), refusal);
-            case BELOW_FLOOR -> turnAway(request, ErrorKind.SHED, HomeText.get("higher-tiers-need-the-room"), refusal);
+            case BELOW_FLOOR -> reject(request, ErrorKind.SHED, HomeText.get("higher-tiers-need-the-room"), refusal);
             default -> placeElsewhere(request, request.excludedSlices, slice);
         }
     }
 
-    void ownerUp(String owner) {
-        owners.up(owner);
+    void ownerConnected(String owner) {
+        owners.connected(owner);
         state.liveRequests().stream().filter(Queueing::isUnplaced).forEach(this::retry);
     }
 
-    void ownerDown(String owner) {
-        owners.down(owner);
+    void ownerDisconnected(String owner) {
+        owners.disconnected(owner);
         for (Request request : state.liveRequests()) {
             if (owner.equals(request.owner)) {
                 request.leaveQueue();
@@ -170,7 +176,7 @@
     void viewChanged() {
         owners.viewChanged();
         for (Request request : state.liveRequests()) {
-            if (request.phase == RequestPhase.GRANTED && !state.view.isUsable(request.place.target())) {
+            if (request.phase == RequestPhase.GRANTED && !state.view.isUsable(request.location.target())) {
                 notSent(request, HomeText.get("the-target-may-not-be-used-any-more"));
             } else if (request.phase == RequestPhase.WAITING) {
                 moveIfNeeded(request);
@@ -179,22 +185,22 @@
     }
 
     private void moveIfNeeded(Request request) {
-        if (request.owner != null && isRightlyQueued(request)) {
+        if (request.owner != null && isQueuedAtCurrentOwner(request)) {
             return;
         }
-        ending.withdraw(request);
+        completion.withdraw(request);
         retry(request);
     }
 
-    private boolean isRightlyQueued(Request request) {
+    private boolean isQueuedAtCurrentOwner(Request request) {
         boolean inService = state.view.isInService(request.slice.getDataCentre());
-        Optional<String> owner = owners.reachable(request.slice, request.refusingOwners);
+        Optional<String> owner = owners.connectedOwner(request.slice, request.refusingOwners);
         return inService && owner.filter(request.owner::equals).isPresent();
     }
 
     // A process that was paused wakes with old beliefs: the deadline, the grant, the data centre and the target are
     // all looked at again here, and time once more by the gate right before the request leaves.
-    private Optional<String> obstacle(Request request, Grant grant, long grantEndsMillis) {
+    private Optional<String> grantError(Request request, Grant grant, long grantEndsMillis) {
         if (state.nowMillis >= grantEndsMillis) {
             return Optional.of(HomeText.get("the-grant-had-run-out"));
         }
@@ -207,7 +213,7 @@
         return Optional.empty();
     }
 
-    private static boolean isAwaited(Request request, String owner, Grant grant) {
+    private static boolean isExpected(Request request, String owner, Grant grant) {
         return request.phase == RequestPhase.WAITING
                 && owner.equals(request.owner)
                 && grant.getSlice().equals(request.slice);
@@ -219,14 +225,14 @@
         request.grantOwner = owner;
         request.gate = new SendGate(Math.min(grantEndsMillis, request.deadlineAtMillis));
         String stream = state.requestId(request.sequence);
-        request.place = new RequestLocation(grant.getTarget(), grant.getAddress(), grant.getPort(), stream);
+        request.location = new RequestLocation(grant.getTarget(), grant.getAddress(), grant.getPort(), stream);
         state.note(request, HomeNote.GRANTED, HomeText.get("granted", grant.getTarget(), owner));
-        state.emit(new HomeAction.Dispatch(request.sequence, request.place, request.submission, request.gate));
+        state.emit(new HomeAction.Dispatch(request.sequence, request.location, request.submission, request.gate));
     }
 
     private void requeue(Request request) {
         if (state.nowMillis >= request.deadlineAtMillis) {
-            ending.cancel(request, ErrorKind.DEADLINE_WAITING, ErrorKind.DEADLINE_RUNNING);
+            completion.cancel(request, ErrorKind.DEADLINE_WAITING, ErrorKind.DEADLINE_RUNNING);
             return;
         }
         retry(request);
@@ -237,27 +243,28 @@
         place(request);
     }
 
-    private void tryOnceElsewhere(Request request, SliceId slice, ErrorKind kind, String detail, Refusal refusal) {
+    private void retryOnceElsewhere(Request request, SliceId slice, ErrorKind kind, String detail, Refusal refusal) {
         request.excludedSlices.add(slice);
         long leftMillis = request.deadlineAtMillis - state.nowMillis;
-        Optional<SliceId> other = request.triedElsewhere
+        Optional<SliceId> other = request.retriedElsewhere
                 ? Optional.empty()
-                : otherWithRoom(request).or(() -> otherWithShorterWait(request, leftMillis / 2));
+                : alternativeWithSlots(request).or(() -> alternativeWithShorterWait(request, leftMillis / 2));
         boolean mayRetry =
-                other.isPresent() && state.budget.tryRetry(state.view.retryFloorPerSecond(), state.nowMillis);
+                other.isPresent() && state.retryBudget.tryAcquire(state.view.retryFloorPerSecond(), state.nowMillis);
         if (mayRetry) {
-            request.triedElsewhere = true;
+            request.retriedElsewhere = true;
             enqueue(request, other.get());
         } else {
-            turnAway(request, kind, detail, refusal);
+            reject(request, kind, detail, refusal);
         }
     }
 
-    private Optional<SliceId> otherWithRoom(Request request) {
+    private Optional<SliceId> alternativeWithSlots(Request request) {
         List<SliceId> roomy = inService(request).stream()
                 .filter(slice -> !request.excludedSlices.contains(slice))
-                .filter(slice -> state.board.hasAvailableSlots(slice, state.nowMillis))
-                .filter(slice -> owners.reachable(slice, request.refusingOwners).isPresent())
+                .filter(slice -> state.sliceTracker.hasAvailableSlots(slice, state.nowMillis))
+                .filter(slice ->
+                        owners.connectedOwner(slice, request.refusingOwners).isPresent())
                 .toList();
         return roomy.isEmpty() ? Optional.empty() : Optional.of(choose(request, roomy));
     }
@@ -265,32 +272,36 @@
     // Where all slices are full, one may hold back high tiers while another still serves low ones: the queues of two
     // owners know nothing of each other. A request moves to an owner that expects to serve its tier clearly sooner than
     // this one has let it wait; it must wait again before it moves again.
-    private Optional<SliceId> otherWithShorterWait(Request request, long waitedMillis) {
+    private Optional<SliceId> alternativeWithShorterWait(Request request, long waitedMillis) {
         long boundMillis = waitedMillis - state.settings.reconsiderIntervalMillis();
         int rank = request.submission.tierRank();
         List<SliceId> shorter = inService(request).stream()
                 .filter(slice -> !slice.equals(request.slice))
                 .filter(slice -> !request.excludedSlices.contains(slice))
-                .filter(slice -> state.board.servesWithin(slice, rank, boundMillis, state.nowMillis))
-                .filter(slice -> owners.reachable(slice, request.refusingOwners).isPresent())
+                .filter(slice -> state.sliceTracker.servesWithin(slice, rank, boundMillis, state.nowMillis))
+                .filter(slice ->
+                        owners.connectedOwner(slice, request.refusingOwners).isPresent())
                 .toList();
         return shorter.isEmpty() ? Optional.empty() : Optional.of(choose(request, shorter));
     }
 
-    private void turnAway(Request request, ErrorKind kind, String detail, Refusal refusal) {
+    private void reject(Request request, ErrorKind kind, String detail, Refusal refusal) {
         long comeBackMillis = refusal.getComeBackMillis() > 0
                 ? refusal.getComeBackMillis()
                 : state.settings.defaultRetryAfterMillis();
-        ending.end(request, Outcome.failed(kind, detail, comeBackMillis, ""), FinishKind.UNUSED);
+        completion.end(request, Outcome.failed(kind, detail, comeBackMillis, ""), FinishKind.UNUSED);
     }
 
     private void enqueue(Request request, SliceId slice) {
         owners.enqueue(
-                request, slice, owners.reachable(slice, request.refusingOwners).orElseThrow());
+                request,
+                slice,
+                owners.connectedOwner(slice, request.refusingOwners).orElseThrow());
     }
 
     private SliceId choose(Request request, List<SliceId> slices) {
-        return policy.choose(slices, request.routing, state.board, state.view::distanceMillis, random, state.nowMillis);
+        return policy.choose(
+                slices, request.routing, state.sliceTracker, state.view::distanceMillis, random, state.nowMillis);
     }
 
     private List<SliceId> inService(Request request) {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Request.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Request.java
@@ -26,7 +26,7 @@
     /** Slices that are not to be asked in this round. */
     final Set<SliceId> excludedSlices = new HashSet<>();
     /** Slices without a usable target, by their owners' word in this round. */
-    final Set<SliceId> barrenSlices = new HashSet<>();
+    final Set<SliceId> slicesWithoutTarget = new HashSet<>();
     /** Hosts that do not own what they were asked for, in this round. */
     final Set<String> refusingOwners = new HashSet<>();
     /** Slice at which the request is queued; null while it is not. */
@@ -34,19 +34,19 @@
     /** Host at which the request is queued; null while it is not. */
     String owner;
 
-    boolean triedElsewhere;
+    boolean retriedElsewhere;
     long retryAtMillis = Long.MAX_VALUE;
     long queuedAtMillis;
     long reconsiderAtMillis = Long.MAX_VALUE;
-    long orphanEndsAtMillis = Long.MAX_VALUE;
+    long rejoinGraceEndsAtMillis = Long.MAX_VALUE;
 
     Grant grant;
     String grantOwner;
     /** Hosts that were told that this request is in flight, and count it until they are told that it ended. */
-    final Set<String> countingOwners = new HashSet<>();
+    final Set<String> ownersCountingInFlight = new HashSet<>();
 
     SendGate gate;
-    RequestLocation place;
+    RequestLocation location;
     long sentAtMillis = NEVER;
     long firstTokenAtMillis = NEVER;
     int prefillTokens;
@@ -67,14 +67,14 @@
         return phase == RequestPhase.SENT || phase == RequestPhase.STREAMING;
     }
 
-    long nextDueMillis() {
+    long nextTimerMillis() {
         long placeAtMillis = Math.min(retryAtMillis, reconsiderAtMillis);
-        return Math.min(deadlineAtMillis, Math.min(placeAtMillis, orphanEndsAtMillis));
+        return Math.min(deadlineAtMillis, Math.min(placeAtMillis, rejoinGraceEndsAtMillis));
     }
 
-    void beginRound() {
+    void clearExclusions() {
         excludedSlices.clear();
-        barrenSlices.clear();
+        slicesWithoutTarget.clear();
         refusingOwners.clear();
     }
 
@@ -89,7 +89,7 @@
         grant = null;
         grantOwner = null;
         gate = null;
-        place = null;
+        location = null;
     }
 
     RequestTimes times(long nowMillis) {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Ending.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/RequestCompletion.java
@@ -8,11 +8,11 @@
 import org.whinwharf.wire.message.Withdraw;
 
 /** Ends requests: each of them once, with one outcome, told to every caller that still listens. */
-final class Ending {
+final class RequestCompletion {
     private final HomeState state;
     private final OwnerLinks owners;
 
-    Ending(HomeState state, OwnerLinks owners) {
+    RequestCompletion(HomeState state, OwnerLinks owners) {
         this.state = state;
         this.owners = owners;
     }
@@ -25,7 +25,7 @@
      *
      * @return true when it did not leave and never will
      */
-    boolean stopUnsent(Request request) {
+    boolean preventDispatch(Request request) {
         if (request.phase == RequestPhase.WAITING) {
             return true;
         }
@@ -41,24 +41,24 @@
 
     /** Ends a request early; what it is told depends on whether it left. */
     void cancel(Request request, ErrorKind whileWaiting, ErrorKind whileRunning) {
-        if (stopUnsent(request)) {
-            end(request, state.failed(whileWaiting, HomeText.get("the-request-waited")), FinishKind.UNUSED);
+        if (preventDispatch(request)) {
+            end(request, state.failure(whileWaiting, HomeText.get("the-request-waited")), FinishKind.UNUSED);
             return;
         }
-        state.emit(new HomeAction.CancelAtTarget(request.sequence, request.place, request.submission.isEngine()));
+        state.emit(new HomeAction.CancelAtTarget(request.sequence, request.location, request.submission.isEngine()));
         fail(request, whileRunning, HomeText.get("the-target-was-at-work"), FinishKind.CANCELLED);
     }
 
     /** Ends a request that was sent. */
     void fail(Request request, ErrorKind kind, String detail, FinishKind finish) {
-        String target = request.place == null ? "" : request.place.target();
+        String target = request.location == null ? "" : request.location.target();
         end(request, Outcome.failed(kind, detail, state.settings.defaultRetryAfterMillis(), target), finish);
     }
 
     /** Ends a request whose answer is whole. */
     void complete(Request request, Answer answer) {
         state.emit(new HomeAction.CacheAnswer(request.sequence, answer));
-        Outcome outcome = Outcome.completed(request.place.target(), request.assembler.nextIndex());
+        Outcome outcome = Outcome.completed(request.location.target(), request.assembler.nextIndex());
         end(request, outcome, FinishKind.COMPLETED);
     }
 
@@ -76,9 +76,9 @@
             state.emit(new HomeAction.ReleaseConnection(request.sequence));
         }
         request.phase = RequestPhase.ENDED;
-        state.live.remove(request.sequence);
+        state.liveById.remove(request.sequence);
         state.recordEnded(request.sequence, request.submission, outcome);
-        tellCallers(request, outcome);
+        notifyCallers(request, outcome);
         state.note(
                 request,
                 HomeNote.ENDED,
@@ -96,19 +96,19 @@
                 .setSlice(request.slice)
                 .setRequest(request.sequence)
                 .build();
-        owners.tell(request.owner, Frame.newBuilder().setWithdraw(withdraw).build());
+        owners.send(request.owner, Frame.newBuilder().setWithdraw(withdraw).build());
         request.leaveQueue();
     }
 
-    private void tellCallers(Request request, Outcome outcome) {
+    private void notifyCallers(Request request, Outcome outcome) {
         for (long caller : request.callers.keySet()) {
             state.requestOfCaller.remove(caller);
-            tell(caller, request.sequence, outcome);
+            notifyCaller(caller, request.sequence, outcome);
         }
         request.callers.clear();
     }
 
-    private void tell(long caller, long sequence, Outcome outcome) {
+    private void notifyCaller(long caller, long sequence, Outcome outcome) {
         Optional<ErrorKind> error = outcome.error();
         if (error.isPresent()) {
             state.emit(new HomeAction.AnswerError(caller, sequence, outcome));
--- a/org.whinwharf/src/main/java/org/whinwharf/home/RetryBudget.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/RetryBudget.java
@@ -11,11 +11,11 @@
     private double allowance;
     private long lastMillis = Long.MIN_VALUE;
 
-    void fresh(double ratio) {
+    void recordNewRequest(double ratio) {
         allowance = Math.min(MAX_ALLOWANCE, allowance + ratio);
     }
 
-    boolean tryRetry(double floorPerSecond, long nowMillis) {
+    boolean tryAcquire(double floorPerSecond, long nowMillis) {
         if (lastMillis == Long.MIN_VALUE) {
             allowance = Math.min(MAX_ALLOWANCE, allowance + floorPerSecond);
         } else {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/SendGate.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/SendGate.java
@@ -16,7 +16,7 @@
         CLOSED
     }
 
-    private final long goodUntilMillis;
+    private final long validUntilMillis;
     private final AtomicReference<State> state = new AtomicReference<>(State.OPEN);
 
     /**
@@ -25,7 +25,7 @@
      * @param goodUntilMillis instant from which nothing may be sent, by the home's clock
      */
     public SendGate(long goodUntilMillis) {
-        this.goodUntilMillis = goodUntilMillis;
+        this.validUntilMillis = goodUntilMillis;
     }
 
     /**
@@ -35,7 +35,7 @@
      * @return true when the request may leave; true at most once
      */
     public boolean trySend(long nowMillis) {
-        if (nowMillis >= goodUntilMillis) {
+        if (nowMillis >= validUntilMillis) {
             close();
             return false;
         }
--- a/org.whinwharf/src/main/java/org/whinwharf/home/StreamAssembler.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/StreamAssembler.java
@@ -7,10 +7,10 @@
 
 /** Puts the tokens of one answer in order, drops those that came before and notices gaps. */
 final class StreamAssembler {
-    private static final int MAX_EARLY = 256;
+    private static final int MAX_OUT_OF_ORDER_TOKENS = 256;
 
     private final List<String> texts = new ArrayList<>();
-    private final TreeMap<Integer, StreamToken> early = new TreeMap<>();
+    private final TreeMap<Integer, StreamToken> outOfOrder = new TreeMap<>();
     private boolean complete;
 
     /** Takes a token and returns those that are now next in order. */
@@ -19,11 +19,11 @@
         if (complete || token.getIndex() < nextIndex()) {
             return ready;
         }
-        if (early.size() < MAX_EARLY || token.getIndex() == nextIndex()) {
-            early.put(token.getIndex(), token);
+        if (outOfOrder.size() < MAX_OUT_OF_ORDER_TOKENS || token.getIndex() == nextIndex()) {
+            outOfOrder.put(token.getIndex(), token);
         }
-        while (!complete && !early.isEmpty() && early.firstKey() == nextIndex()) {
-            StreamToken next = early.pollFirstEntry().getValue();
+        while (!complete && !outOfOrder.isEmpty() && outOfOrder.firstKey() == nextIndex()) {
+            StreamToken next = outOfOrder.pollFirstEntry().getValue();
             texts.add(next.getText());
             complete = next.getLast();
             ready.add(next);
@@ -36,7 +36,7 @@
     }
 
     boolean hasGap() {
-        return !complete && !early.isEmpty();
+        return !complete && !outOfOrder.isEmpty();
     }
 
     boolean isComplete() {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/TicketTable.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/TicketTable.java
@@ -13,15 +13,15 @@
     private static final int MAX_RECORDS = 256;
 
     private final int maxTickets;
-    private final Map<Key, NumberWindow<Seen>> windows = new HashMap<>();
+    private final Map<Key, NumberWindow<NumberRecord>> windows = new HashMap<>();
     private final PriorityQueue<Expiry> expiries = new PriorityQueue<>();
-    private long turnedAwayUntilMillis = Long.MIN_VALUE;
+    private long rejectedUntilMillis = Long.MIN_VALUE;
 
     TicketTable(int maxTickets) {
         this.maxTickets = maxTickets;
     }
 
-    Optional<NumberWindow<Seen>> find(Ticket ticket) {
+    Optional<NumberWindow<NumberRecord>> find(Ticket ticket) {
         return Optional.ofNullable(windows.get(Key.of(ticket)));
     }
 
@@ -32,16 +32,16 @@
      * find room later and run after all. So no ticket that runs out as early as one that was turned away gets a window
      * any more; a new ticket does.
      */
-    Optional<NumberWindow<Seen>> open(Ticket ticket) {
-        Optional<NumberWindow<Seen>> known = find(ticket);
+    Optional<NumberWindow<NumberRecord>> open(Ticket ticket) {
+        Optional<NumberWindow<NumberRecord>> known = find(ticket);
         if (known.isPresent()) {
             return known;
         }
-        if (windows.size() >= maxTickets || ticket.expiresAtMillis() <= turnedAwayUntilMillis) {
-            turnedAwayUntilMillis = Math.max(turnedAwayUntilMillis, ticket.expiresAtMillis());
+        if (windows.size() >= maxTickets || ticket.expiresAtMillis() <= rejectedUntilMillis) {
+            rejectedUntilMillis = Math.max(rejectedUntilMillis, ticket.expiresAtMillis());
             return Optional.empty();
         }
-        NumberWindow<Seen> window = new NumberWindow<>(MAX_RANGES, MAX_RECORDS);
+        NumberWindow<NumberRecord> window = new NumberWindow<>(MAX_RANGES, MAX_RECORDS);
         windows.put(Key.of(ticket), window);
         expiries.add(new Expiry(ticket.expiresAtMillis(), Key.of(ticket)));
         return Optional.of(window);
@@ -54,7 +54,7 @@
     }
 
     /** What is recorded for a number: the request it became and what was asked. */
-    record Seen(long sequence, long contentDigest) {}
+    record NumberRecord(long sequence, long contentDigest) {}
 
     private record Key(long idHigh, long idLow) {
         static Key of(Ticket ticket) {
--- a/org.whinwharf/src/main/java/org/whinwharf/routing/RoutingPolicy.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/routing/RoutingPolicy.java
@@ -16,21 +16,21 @@
     RANDOM {
         @Override
         SliceId pick(Choice choice) {
-            return choice.any(choice.slices());
+            return choice.randomOf(choice.slices());
         }
     },
     /** The slice with the least expected wait. */
     LEAST_WAIT {
         @Override
         SliceId pick(Choice choice) {
-            return choice.least(choice.slices(), choice::waitMillis);
+            return choice.leastOf(choice.slices(), choice::waitMillis);
         }
     },
     /** The roomier one of two random slices. */
     TWO_CHOICES {
         @Override
         SliceId pick(Choice choice) {
-            return choice.roomierOfTwo(choice.slices());
+            return choice.moreAvailableOfTwo(choice.slices());
         }
     },
     /** Least of wait, distance and prefill that the slice's caches lack; near ties go to the roomier of two. */
@@ -38,16 +38,16 @@
         @Override
         SliceId pick(Choice choice) {
             ToDoubleFunction<SliceId> score = choice.score();
-            SliceId best = choice.least(choice.slices(), score);
-            double bound = score.applyAsDouble(best) + TIE_MILLIS;
+            SliceId best = choice.leastOf(choice.slices(), score);
+            double bound = score.applyAsDouble(best) + TIE_THRESHOLD_MILLIS;
             List<SliceId> near = choice.slices().stream()
                     .filter(slice -> score.applyAsDouble(slice) <= bound)
                     .toList();
-            return choice.roomierOfTwo(near);
+            return choice.moreAvailableOfTwo(near);
         }
     };
 
-    private static final double TIE_MILLIS = 1;
+    private static final double TIE_THRESHOLD_MILLIS = 1;
     private static final double PREFILL_MILLIS_PER_TOKEN = 0.2;
     private static final HashFunction RENDEZVOUS = Hashing.murmur3_128();
 
@@ -56,7 +56,7 @@
      *
      * @param slices slices to choose from; not empty
      * @param request the request
-     * @param board what is known of slices
+     * @param tracker what is known of slices
      * @param distance extra milliseconds to each data centre
      * @param random source of random numbers
      * @param nowMillis now
@@ -81,34 +81,34 @@
     private record Choice(
             List<SliceId> slices,
             RoutingRequest request,
-            SliceTracker board,
+            SliceTracker tracker,
             ToDoubleFunction<String> distance,
             UniformRandomProvider random,
             long nowMillis) {
-        SliceId any(List<SliceId> among) {
+        SliceId randomOf(List<SliceId> among) {
             return among.get(random.nextInt(among.size()));
         }
 
-        SliceId least(List<SliceId> among, ToDoubleFunction<SliceId> measure) {
+        SliceId leastOf(List<SliceId> among, ToDoubleFunction<SliceId> measure) {
             return among.stream().min(Comparator.comparingDouble(measure)).orElseThrow();
         }
 
-        SliceId roomierOfTwo(List<SliceId> among) {
+        SliceId moreAvailableOfTwo(List<SliceId> among) {
             if (among.size() == 1) {
                 return among.get(0);
             }
             List<SliceId> others = new ArrayList<>(among);
             SliceId one = others.remove(random.nextInt(others.size()));
-            SliceId other = any(others);
-            return board.availableSlots(one) >= board.availableSlots(other) ? one : other;
+            SliceId other = randomOf(others);
+            return tracker.availableSlots(one) >= tracker.availableSlots(other) ? one : other;
         }
 
         double waitMillis(SliceId slice) {
-            return board.estimatedWaitMillis(slice, request.tierRank(), nowMillis);
+            return tracker.estimatedWaitMillis(slice, request.tierRank(), nowMillis);
         }
 
         ToDoubleFunction<SliceId> score() {
-            SliceTracker.SharedPrefix cached = cached();
+            SliceTracker.SharedPrefix cached = cachedPrefix();
             return slice -> waitMillis(slice)
                     + distance.applyAsDouble(slice.getDataCentre())
                     - (cached != null && cached.slice().equals(slice) ? cached.tokens() * PREFILL_MILLIS_PER_TOKEN : 0);
@@ -116,8 +116,8 @@
 
         // A prefix that this host never sent goes where every host sends it: to the slice that the hash of the
         // shortest prefix ranks first. Otherwise each home would fill another engine's cache with the same prompt.
-        private SliceTracker.SharedPrefix cached() {
-            return board.longestSharedPrefix(request)
+        private SliceTracker.SharedPrefix cachedPrefix() {
+            return tracker.longestSharedPrefix(request)
                     .filter(shared -> slices.contains(shared.slice()))
                     .orElseGet(this::firstByHash);
         }
@@ -127,7 +127,7 @@
                 return null;
             }
             long prefix = request.prefixes().get(0);
-            SliceId first = least(slices, slice -> -weight(prefix, slice));
+            SliceId first = leastOf(slices, slice -> -weight(prefix, slice));
             return new SliceTracker.SharedPrefix(first, PrefixDigests.TOKENS_PER_DIGEST);
         }
 
--- a/org.whinwharf/src/main/java/org/whinwharf/routing/SliceTracker.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/routing/SliceTracker.java
@@ -13,12 +13,12 @@
     /** Wait assumed of a slice of which nothing recent is known, in milliseconds. */
     public static final long UNKNOWN_WAIT_MILLIS = 100;
 
-    private static final long FRESH_MILLIS = 2_000;
+    private static final long MAX_AGE_MILLIS = 2_000;
     private static final int MAX_PREFIXES = 4_096;
 
-    private final Map<SliceId, Heard> heard = new HashMap<>();
+    private final Map<SliceId, Report> reports = new HashMap<>();
     private final Map<SliceId, Stall> stalls = new HashMap<>();
-    private final Map<SliceId, Integer> takenSinceHeard = new HashMap<>();
+    private final Map<SliceId, Integer> queuedSinceReport = new HashMap<>();
     private final Map<Long, SliceId> sliceOfPrefix = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
@@ -35,8 +35,8 @@
      * @param nowMillis when it arrived
      */
     public void updateStatus(SliceStatus status, long nowMillis) {
-        heard.put(status.getSlice(), new Heard(status, nowMillis));
-        takenSinceHeard.remove(status.getSlice());
+        reports.put(status.getSlice(), new Report(status, nowMillis));
+        queuedSinceReport.remove(status.getSlice());
     }
 
     /**
@@ -45,7 +45,7 @@
      * @param slice where it was queued
      */
     public void recordQueued(SliceId slice) {
-        takenSinceHeard.merge(slice, 1, Integer::sum);
+        queuedSinceReport.merge(slice, 1, Integer::sum);
     }
 
     /**
@@ -87,8 +87,8 @@
      * @return milliseconds; an old fact counts no better than an unknown slice
      */
     public long estimatedWaitMillis(SliceId slice, int tierRank, long nowMillis) {
-        Heard fact = heard.get(slice);
-        long seenMillis = stalledMillis(slice, nowMillis);
+        Report fact = reports.get(slice);
+        long seenMillis = observedStallMillis(slice, nowMillis);
         if (fact == null) {
             return Math.max(seenMillis, UNKNOWN_WAIT_MILLIS);
         }
@@ -107,7 +107,7 @@
      * @return true when a recent word of its owner says so and this host has not seen it stall
      */
     public boolean servesWithin(SliceId slice, int tierRank, long boundMillis, long nowMillis) {
-        Heard fact = heard.get(slice);
+        Report fact = reports.get(slice);
         boolean known =
                 fact != null && isFresh(fact, nowMillis) && fact.status().getUsableTargets() > 0;
         return known && estimatedWaitMillis(slice, tierRank, nowMillis) < boundMillis;
@@ -121,7 +121,7 @@
      * @return true when it has a free slot
      */
     public boolean hasAvailableSlots(SliceId slice, long nowMillis) {
-        Heard fact = heard.get(slice);
+        Report fact = reports.get(slice);
         return fact != null && isFresh(fact, nowMillis) && availableSlots(slice) > 0;
     }
 
@@ -133,7 +133,7 @@
      * @return true when it has none
      */
     public boolean hasNoUsableTarget(SliceId slice, long nowMillis) {
-        Heard fact = heard.get(slice);
+        Report fact = reports.get(slice);
         return fact != null && isFresh(fact, nowMillis) && fact.status().getUsableTargets() == 0;
     }
 
@@ -144,12 +144,12 @@
      * @return the difference; 0 when nothing is known
      */
     public int availableSlots(SliceId slice) {
-        Heard fact = heard.get(slice);
+        Report fact = reports.get(slice);
         if (fact == null) {
             return 0;
         }
         int spoken = fact.status().getFreeSlots() - fact.status().getWaiting();
-        return spoken - takenSinceHeard.getOrDefault(slice, 0);
+        return spoken - queuedSinceReport.getOrDefault(slice, 0);
     }
 
     /**
@@ -170,14 +170,14 @@
 
     // What this host sees for itself counts more than a good word: all targets of a slice may be dead while its owner
     // still expects them to answer.
-    private long stalledMillis(SliceId slice, long nowMillis) {
+    private long observedStallMillis(SliceId slice, long nowMillis) {
         Stall stall = stalls.get(slice);
-        boolean recent = stall != null && nowMillis - stall.atMillis() <= FRESH_MILLIS;
+        boolean recent = stall != null && nowMillis - stall.atMillis() <= MAX_AGE_MILLIS;
         return recent ? stall.waitedMillis() : 0;
     }
 
-    private static boolean isFresh(Heard fact, long nowMillis) {
-        return nowMillis - fact.atMillis() <= FRESH_MILLIS;
+    private static boolean isFresh(Report fact, long nowMillis) {
+        return nowMillis - fact.atMillis() <= MAX_AGE_MILLIS;
     }
 
     /**
@@ -190,7 +190,7 @@
 
     private record Stall(long waitedMillis, long atMillis) {}
 
-    private record Heard(SliceStatus status, long atMillis) {
+    private record Report(SliceStatus status, long atMillis) {
         long waitMillis(int tierRank) {
             if (status.getFreeSlots() > status.getWaiting()) {
                 return 0;
--- a/org.whinwharf/src/main/java/org/whinwharf/ticket/NumberWindow.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/ticket/NumberWindow.java
@@ -65,13 +65,13 @@
         if (closed || number < 0 || number == Long.MAX_VALUE || isSeen(number)) {
             return false;
         }
-        if (needsRoom(number)) {
+        if (exceedsMaxRanges(number)) {
             closed = true;
             return false;
         }
         insert(number);
         records.put(number, record);
-        dropEldest();
+        evictOldestRecord();
         return true;
     }
 
@@ -84,7 +84,7 @@
         return ranges.size();
     }
 
-    private boolean needsRoom(long number) {
+    private boolean exceedsMaxRanges(long number) {
         boolean touchesBelow = number > 0 && isSeen(number - 1);
         boolean touchesAbove = isSeen(number + 1);
         return !touchesBelow && !touchesAbove && ranges.size() >= maxRanges;
@@ -101,7 +101,7 @@
         ranges.put(start, aboveEnd == null ? end : aboveEnd);
     }
 
-    private void dropEldest() {
+    private void evictOldestRecord() {
         if (records.size() > maxRecords) {
             Long eldest = records.keySet().iterator().next();
             records.remove(eldest);
