--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeDriver.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeDriver.java
@@ -19,7 +19,7 @@
 import org.whinwharf.wire.message.SliceId;
 import org.whinwharf.wire.schema.StreamToken;
 
-/** Drives a home by events and a clock, plays its sender, and checks its history after each event. */
+/** Feeds events and a clock to a home, simulates its sender, and checks the resulting actions after each event. */
 final class HomeDriver {
     static final String OWNER_A = "host-a";
     static final String OWNER_B = "host-b";
@@ -97,7 +97,7 @@
         return on(new HomeEvent.Refused(owner, refusal));
     }
 
-    /** Does what the sending thread does with a dispatch: asks the gate by its own clock, then tells the home. */
+    /** Simulates the sending thread: checks the gate of a pending dispatch, then reports the result to the home. */
     List<HomeAction> runSender(long sequence) {
         HomeAction.Dispatch dispatch = pendingDispatches.remove(sequence);
         if (dispatch == null) {
@@ -106,8 +106,10 @@
         if (!dispatch.gate().trySend(nowMillis)) {
             return on(new HomeEvent.NotSent(sequence));
         }
-        check(sentRequests.add(sequence), "request " + sequence + " left twice");
-        check(!reportedNotRun.contains(sequence), "request " + sequence + " left after not run was said of it");
+        check(sentRequests.add(sequence), "request " + sequence + " was sent twice");
+        check(
+                !reportedNotRun.contains(sequence),
+                "request " + sequence + " was sent after its caller was told \"not run\"");
         return on(new HomeEvent.Sent(sequence));
     }
 
@@ -130,7 +132,7 @@
         return on(new HomeEvent.TokenReceived(sequence, token));
     }
 
-    /** Submits as caller 1, has the grant come, and sends. */
+    /** Submits a request as caller 1, grants it and sends it. */
     HomeDriver sent(Submission submission) {
         submit(1, submission);
         grant(1, queuedAt(1), nowMillis);
@@ -138,12 +140,12 @@
         return this;
     }
 
-    /** Returns the owner that was asked last for a request. */
+    /** Returns the owner at which a request was queued last; empty when it was not queued. */
     String queuedAt(long sequence) {
         String owner = "";
-        for (HomeAction.SendToOwner told : find(HomeAction.SendToOwner.class)) {
-            if (told.frame().hasEnqueue() && told.frame().getEnqueue().getRequest() == sequence) {
-                owner = told.owner();
+        for (HomeAction.SendToOwner action : find(HomeAction.SendToOwner.class)) {
+            if (action.frame().hasEnqueue() && action.frame().getEnqueue().getRequest() == sequence) {
+                owner = action.owner();
             }
         }
         return owner;
@@ -157,7 +159,7 @@
         return actions.stream().filter(type::isInstance).map(type::cast);
     }
 
-    /** Returns the wire name of the last error told to a caller; empty when there was none. */
+    /** Returns the wire name of the last error sent to a caller; empty when there was none. */
     String errorOf(long caller) {
         Optional<HomeAction.AnswerError> error = find(HomeAction.AnswerError.class).stream()
                 .filter(action -> action.caller() == caller)
@@ -168,8 +170,8 @@
 
     List<Finished> finished() {
         return find(HomeAction.SendToOwner.class).stream()
-                .filter(told -> told.frame().hasFinished())
-                .map(told -> told.frame().getFinished())
+                .filter(action -> action.frame().hasFinished())
+                .map(action -> action.frame().getFinished())
                 .toList();
     }
 
@@ -230,19 +232,19 @@
         if (aboutThisRequest && error.outcome().ran() == Ran.NOT_RUN) {
             check(
                     !sentRequests.contains(error.sequence()),
-                    "not run was said of " + error.sequence() + ", which left: " + name);
+                    "caller was told \"not run\" of " + error.sequence() + ", which was sent: " + name);
             reportedNotRun.add(error.sequence());
         }
     }
 
     private void recordFinalAnswer(long caller) {
         int count = finalAnswers.merge(caller, 1, Integer::sum);
-        check(count == 1, "caller " + caller + " got " + count + " last answers");
+        check(count == 1, "caller " + caller + " got " + count + " final answers");
     }
 
-    private static void check(boolean holds, String what) {
-        if (!holds) {
-            throw new AssertionError(what);
+    private static void check(boolean condition, String message) {
+        if (!condition) {
+            throw new AssertionError(message);
         }
     }
 
@@ -253,7 +255,7 @@
                 .build();
     }
 
-    /** What is in force, as the test sets it. */
+    /** View of the document and the host list, as the test sets it. */
     record View(Set<String> inService, Set<String> usable) implements HomeView {
         @Override
         public boolean isInService(String dataCentre) {
--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeTest.java
@@ -35,8 +35,8 @@
         assertThat(driver.home.liveCount(), is(0));
     }
 
-    // The process is paused while the request waits and wakes after the deadline. The grant that lies in the socket
-    // looks good to the owner. The caller was promised an end by then; a late run would be work for nobody.
+    // The process is paused while the request waits and resumes after the deadline. The grant in the socket buffer is
+    // still valid for the owner. Running the request now would be wasted work, because its caller no longer waits.
     @Test
     void grantReadAfterTheDeadlineIsReturnedAndTheRequestIsNotRun() {
         driver.submit(1, request);
@@ -47,8 +47,9 @@
         assertThat(driver.errorOf(1), is("deadline-waiting"));
     }
 
-    // The process is paused and reads a grant after it ran out. The owner has given the slot to another by then, so a
-    // target that can bear one request would get two.
+    // The process is paused and reads a grant after it expired. The owner has given the slot to another request by
+    // then,
+    // so a target with capacity for one request would receive two.
     @Test
     void grantReadTooLateIsReturnedAndTheRequestQueuesAnew() {
         driver.submit(1, request);
@@ -60,8 +61,8 @@
         assertThat(enqueues(), is(2L));
     }
 
-    // The pause falls between the decision to send and the sending. The sender's own look at the clock keeps the
-    // request back; without it the request would leave on a grant that ran out.
+    // The process is paused between the decision to dispatch and the sending. The sender checks the clock at the gate;
+    // without that check the request would be sent on an expired grant.
     @Test
     void pauseBeforeSendingPreventsTheDispatch() {
         driver.submit(1, request);
@@ -75,8 +76,8 @@
         assertThat(driver.sentRequests, is(Set.of(1L)));
     }
 
-    // The deadline passes while the request sits between the decision and the sender. Whichever comes first decides:
-    // here the sender was past the gate, so the caller must not be told "not run".
+    // The deadline passes between the decision to dispatch and the sending. The first to use the gate decides: here the
+    // sender has passed it, so the caller must not be told "not run".
     @Test
     void deadlineAfterTheGateIsAnsweredAsRan() {
         driver.submit(1, request);
@@ -87,8 +88,8 @@
         assertThat(driver.find(HomeAction.CancelAtTarget.class), hasSize(1));
     }
 
-    // The deadline passes while the target works. Its work is cancelled and the slot given back; otherwise the engine
-    // would go on for a caller that has left.
+    // The deadline passes while the target executes the request. The request is cancelled there and the slot released;
+    // otherwise the engine would continue for a caller that no longer waits.
     @Test
     void deadlineWhileRunningCancelsAtTheTarget() {
         driver.sent(request);
@@ -99,8 +100,8 @@
         assertThat(last(driver.finished()).getKind(), is(FinishKind.CANCELLED));
     }
 
-    // The link to the target breaks in the middle of an answer. The stream is taken up where it broke; a second
-    // dispatch would run the request twice. Tokens of the old connection come late and are given once.
+    // The connection to the target breaks in the middle of an answer. The stream is resumed where it broke, because a
+    // second dispatch would run the request twice. Late tokens of the old connection are delivered only once.
     @Test
     void brokenStreamIsResumedFromTheLastTokenAndNeverSentAgain() {
         driver.sent(request);
@@ -126,7 +127,7 @@
         assertThat(driver.errorOf(1), is("target-lost"));
     }
 
-    // A target was restarted and does not know the stream. What became of the request nobody can say.
+    // A target was restarted and does not know the stream, so the outcome of the request is unknown.
     @Test
     void streamUnknownAtTheTargetIsLost() {
         driver.sent(request);
@@ -145,7 +146,7 @@
         assertThat(driver.find(HomeAction.Dispatch.class), hasSize(1));
     }
 
-    // A target that died refuses the connection. No byte left, so another target may get the request.
+    // A failed target refuses the connection. No byte was sent, so another target may receive the request.
     @Test
     void refusedConnectionAllowsAnotherDispatch() {
         driver.sent(request);
@@ -156,9 +157,9 @@
         assertThat(driver.textOf(1), is("t0"));
     }
 
-    // Many targets die at once. Requests that queue anew at once, again and again, would make a storm of messages.
-    // Beyond
-    // the budget each waits a while first; none is turned away, since lower tiers may be kept elsewhere.
+    // Many targets fail at once. Requests that are queued again immediately and repeatedly would cause a storm of
+    // messages. Beyond the retry budget each request is delayed first; none is rejected, because other owners may still
+    // serve lower tiers.
     @Test
     void refusedConnectionsBeyondTheBudgetWaitBeforeTheyQueueAnew() {
         driver.sent(request);
@@ -185,8 +186,8 @@
         assertThat(enqueues(), is(2L));
     }
 
-    // A target starts to leave, or its data centre is taken out, between the grant and the sending. It must not get
-    // new work, so the grant goes back.
+    // A target starts to leave, or its data centre is taken out of service, between the grant and the sending. It must
+    // not receive new requests, so the grant is returned.
     @Test
     void targetThatLeavesAfterTheGrantReceivesNoRequest() {
         driver.submit(1, request);
@@ -197,8 +198,8 @@
         assertThat(last(driver.finished()).getKind(), is(FinishKind.UNUSED));
     }
 
-    // Operators take this home's own data centre out. What waits goes on at targets elsewhere; fresh requests are told
-    // at once to use another host.
+    // Operators take the home's own data centre out of service. Queued requests move to targets elsewhere; new requests
+    // are rejected at once, so that their callers use another host.
     @Test
     void dataCentreOutOfServiceMovesQueuedRequestsAndRejectsNewOnes() {
         driver.submit(1, request);
@@ -213,8 +214,8 @@
         assertThat(driver.textOf(1), is("t0"));
     }
 
-    // The owner of a slice dies while requests wait there. They queue at another owner, which also hears what this
-    // home has in flight at its targets; otherwise it would grant slots that are taken.
+    // The owner of a slice fails while requests wait there. They are queued at another owner. An owner that returns
+    // receives the list of requests in flight at its targets; otherwise it would grant slots that are occupied.
     @Test
     void requestsOfADeadOwnerQueueElsewhereAndTheReturningOwnerReceivesTheInFlightList() {
         driver.sent(request);
@@ -224,8 +225,8 @@
         driver.on(new HomeEvent.OwnerConnected(HomeDriver.OWNER_A));
         driver.submit(3, request);
         assertThat(driver.queuedAt(3), is(HomeDriver.OWNER_A));
-        List<HomeAction.SendToOwner> told = driver.find(HomeAction.SendToOwner.class);
-        List<InFlight> inFlight = told.get(told.size() - 1).frame().getEnqueue().getInFlightList();
+        List<HomeAction.SendToOwner> sent = driver.find(HomeAction.SendToOwner.class);
+        List<InFlight> inFlight = sent.get(sent.size() - 1).frame().getEnqueue().getInFlightList();
         assertThat(
                 inFlight,
                 is(List.of(InFlight.newBuilder()
@@ -234,9 +235,11 @@
                         .build())));
     }
 
-    // A scheduler is stopped as planned while requests run. The next owner has been told of them, but the view still
-    // names the old one first when they end. Were the next owner not told of their end, it would hold their places for
-    // ever, and callers would wait at idle targets until their deadlines.
+    // A scheduler stops as planned while requests run. The next owner has received them as in flight, but the view
+    // still
+    // names the old owner first when they end. Without the message about their end the next owner would count their
+    // slots
+    // as occupied for ever, and requests would wait until their deadlines while targets are idle.
     @Test
     void ownerThatCountsARequestInFlightReceivesItsEndWhateverTheViewNames() {
         driver.sent(request);
@@ -244,11 +247,11 @@
         driver.refuse(2, HomeDriver.OWNER_A, RefusalReason.OWNER_LEAVING);
         assertThat(driver.queuedAt(2), is(HomeDriver.OWNER_B));
         driver.token(1, 0, true);
-        List<String> told = driver.find(HomeAction.SendToOwner.class).stream()
+        List<String> sent = driver.find(HomeAction.SendToOwner.class).stream()
                 .filter(action -> action.frame().hasFinished())
                 .map(HomeAction.SendToOwner::owner)
                 .toList();
-        assertThat(told, is(List.of(HomeDriver.OWNER_A, HomeDriver.OWNER_B)));
+        assertThat(sent, is(List.of(HomeDriver.OWNER_A, HomeDriver.OWNER_B)));
     }
 
     @Test
@@ -261,8 +264,9 @@
         assertThat(enqueues(), is(2L));
     }
 
-    // All engines of a data centre die. Their owner takes requests and grants none, for longer than callers wait, while
-    // engines elsewhere have room.
+    // All engines of a data centre fail. Their owner queues requests but grants none for longer than callers wait,
+    // while
+    // engines elsewhere have free slots.
     @Test
     void requestThatWaitsLongMovesToASliceWithRoomAndFreshOnesFollow() {
         driver.submit(1, request);
@@ -281,8 +285,8 @@
         assertThat(last(driver.finished()).getKind(), is(FinishKind.UNUSED));
     }
 
-    // All slices are full. One serves summaries of a low tier while an inspector's question waits at another until its
-    // deadline has passed, since no owner knows what waits at the others.
+    // All slices are full. One serves requests of a low tier while a request of a high tier waits at another until its
+    // deadline passes, because no owner knows the queues of the others.
     @Test
     void requestThatWaitsLongMovesToASliceThatServesItsTierSooner() {
         driver.submit(1, request);
@@ -333,8 +337,9 @@
         assertThat(error.outcome().ran(), is(Ran.NOT_RUN));
     }
 
-    // A driver's phone loses the answer and sends the booking again while the first is under way. It must join the
-    // first attempt; and after the end it gets the recorded answer.
+    // A caller loses its connection and submits the booking again while the first attempt runs. The repeat must join
+    // the
+    // first attempt; after that has ended, a repeat receives the stored answer.
     @Test
     void repeatJoinsTheFirstAttemptOrGetsItsRecordedOutcome() {
         driver.sent(HomeDriver.booking(0).call());
@@ -346,8 +351,8 @@
         assertThat(driver.find(HomeAction.Dispatch.class), hasSize(1));
     }
 
-    // A host is full and tells a caller "not run". A copy of that booking, delayed on another path, arrives when there
-    // is room again. Its caller believes that it did not run, so it must not run now.
+    // A host that is out of service tells a caller "not run". A copy of that booking, delayed on another path, arrives
+    // when the host accepts requests again. It must not run now, because its caller was told that it did not.
     @Test
     void rejectedNumberStaysRejected() {
         driver.on(new HomeEvent.ViewChanged(new HomeDriver.View(Set.of("zone-b"), Set.of("engine-2"))));
@@ -384,8 +389,9 @@
         assertThat(last(driver.finished()).getKind(), is(FinishKind.CANCELLED));
     }
 
-    // A ranger's phone drops off the network and comes back within the grace. The work goes on and the answer is
-    // whole; without a return the work is cancelled.
+    // A caller with a ticket loses its connection and rejoins within the grace time. The request continues and the
+    // answer
+    // is complete. When the caller does not rejoin, the request is cancelled.
     @Test
     void callerWithTicketMayRejoinWithinTheGrace() {
         Submission numbered = HomeDriver.engineRequest()
@@ -403,8 +409,8 @@
         assertThat(driver.textOf(2), is("t0"));
     }
 
-    // The phone that booked goes away for good. The booking is under way and can't be taken back; it runs to its end,
-    // so that the caller can learn what became of it.
+    // The caller of a booking disconnects and does not return. The booking was sent and cannot be revoked; it runs to
+    // completion, so that the caller can query the outcome later.
     @Test
     void nonIdempotentCallCompletesWithoutItsCaller() {
         driver.sent(HomeDriver.booking(0).call());
@@ -449,9 +455,8 @@
         assertThat(driver.errorOf(20), is(not("host-full")));
     }
 
-    // A host is full of school requests that wait, and a ranger's check-in comes. The lowest tier that waits makes
-    // room;
-    // what is under way goes on.
+    // A host is full of waiting requests of low tiers when a request of a higher tier arrives. A waiting request of the
+    // lowest tier is shed for it; requests that were sent continue.
     @Test
     void fullHostShedsTheLowestWaitingTier() {
         driver.sent(HomeDriver.engineRequest().tierRank(1).call());
@@ -473,7 +478,7 @@
 
     private long enqueues() {
         return driver.find(HomeAction.SendToOwner.class).stream()
-                .filter(told -> told.frame().hasEnqueue())
+                .filter(action -> action.frame().hasEnqueue())
                 .count();
     }
 
--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/SendGateTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/SendGateTest.java
@@ -7,7 +7,7 @@
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.junit.jupiter.api.Test;
 
-/** Interleavings of the thread that decides and the one that sends. */
+/** Checks all interleavings of the home's thread, which closes the gate, and the sending thread. */
 public class SendGateTest {
     private final SendGate gate = new SendGate(10);
 
@@ -26,8 +26,8 @@
         return gate.close();
     }
 
-    // A caller cancels in the very moment in which its request is sent. Both threads must agree on which came first;
-    // otherwise "not run" is said of a request that ran.
+    // A caller cancels its request at the moment it is sent. Both threads must agree on which came first; otherwise the
+    // caller is told "not run" of a request that ran.
     @Test
     void sendingAndClosingAgreeOnWhichCameFirst() {
         new ModelCheckingOptions().iterations(20).invocationsPerIteration(500).check(SendGateTest.class);
--- a/org.whinwharf.test/src/test/java/org/whinwharf/routing/RoutingPolicyTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/routing/RoutingPolicyTest.java
@@ -37,8 +37,9 @@
         assertThat(choose(SHORT, 0), is(FAR));
     }
 
-    // A slice said once that it is free, then its owner fell silent. If every home went on believing it, all would
-    // queue at the slice that is slowest to answer.
+    // An owner reports a free slice once and then stops reporting. If every home kept using that stale report, all
+    // would
+    // queue their requests at that slice, although its owner may no longer respond.
     @Test
     void staleStatusOfAFreeSliceCountsAsUnknown() {
         updateStatus(NEAR, 0, 0);
--- a/org.whinwharf.test/src/test/java/org/whinwharf/ticket/NumberWindowTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/ticket/NumberWindowTest.java
@@ -17,7 +17,7 @@
     private static final int MAX_RANGES = 4;
     private static final int MAX_RECORDS = 8;
 
-    // A repeat of a pickup booking comes long after the first. If the window had forgotten the number, the booking
+    // A repeat of a booking arrives long after the first attempt. If the window no longer knew the number, the booking
     // would run twice.
     @Property(seed = "20261203")
     void neverTakesANumberTwiceAndStaysBounded(
@@ -34,8 +34,11 @@
         }
     }
 
-    // A caller was told that its request did not run because its number lay beyond too many gaps. A copy of the request
-    // comes later over another host, when the gaps are filled. Were it taken now, the caller had been told a lie.
+    // A caller was told "not run" because the number of its request needed too many ranges. A copy of the request
+    // arrives
+    // later through another host, after the gaps were filled. If it were accepted then, it would run although its
+    // caller
+    // was told that it did not.
     @Test
     void closesForFreshNumbersOnceOneNeedsARangeTooMany() {
         NumberWindow<String> window = new NumberWindow<>(2, MAX_RECORDS);
--- a/org.whinwharf.test/src/test/java/org/whinwharf/ticket/SealingTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/ticket/SealingTest.java
@@ -24,8 +24,8 @@
         assertThat(Receipt.open(RECEIPT.seal(keys), keys), is(Result.of(RECEIPT)));
     }
 
-    // Operators replace the sealing key by promoting a document with a new first key. Callers still hold tickets of
-    // the old key; were those refused, every caller would be told "bad ticket" at the promotion.
+    // Operators replace the sealing key by promoting a document with a new first key. Callers still hold tickets sealed
+    // with the old key; if those were refused, every caller would receive "bad ticket" after the promotion.
     @Test
     void opensWithAnyKeyOfTheDocument() {
         String text = TICKET.seal(new SealingKeys(List.of(key(1))));
@@ -33,7 +33,7 @@
         assertIsBad(Ticket.open(text, new SealingKeys(List.of(key(2)))));
     }
 
-    // A caller alters a ticket, to use another's organisation or to live longer. It must not open.
+    // A caller alters a ticket to use another organisation or to extend its expiry time. The ticket must not open.
     @Test
     void refusesEachAlteredByte() {
         SealingKeys keys = new SealingKeys(List.of(key(1)));
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Answer.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Answer.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * Whole answer of a request, for callers that ask again.
+ * Complete answer of a request, stored for callers that ask for it again.
  *
  * @param texts texts of the tokens; empty for plain services
- * @param status status of a plain service's answer; 0 for engines
+ * @param status HTTP status of a plain service's answer; 0 for engines
  * @param contentType media type of a plain service's answer
  * @param body body of a plain service's answer
  */
@@ -16,7 +16,7 @@
     private static final int BYTES_PER_TEXT = 48;
 
     /**
-     * Makes the answer of an engine.
+     * Creates the answer of an engine.
      *
      * @param texts texts of the tokens
      * @return the answer
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Estimates the memory that the answer takes.
+     * Estimates the memory that the answer occupies.
      *
      * @return bytes
      */
--- a/org.whinwharf/src/main/java/org/whinwharf/home/CallerEvents.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/CallerEvents.java
@@ -8,7 +8,10 @@
 import org.whinwharf.ticket.Ticket;
 import org.whinwharf.wire.message.FinishKind;
 
-/** Takes requests on, finds the first attempt of a repeat, and handles callers that ask, cancel or go away. */
+/**
+ * Handles events from callers: admits requests, joins repeated submissions to the first attempt, and handles state
+ * queries, cancellations and disconnects.
+ */
 final class CallerEvents {
     private final HomeState state;
     private final RequestCompletion completion;
@@ -28,9 +31,9 @@
             submittedWithoutTicket(caller, submission);
             return;
         }
-        Optional<Outcome> fault = ticketError(numbered.get().ticket(), submission.organisation());
-        if (fault.isPresent()) {
-            sendError(caller, 0, fault.get());
+        Optional<Outcome> error = ticketError(numbered.get().ticket(), submission.organisation());
+        if (error.isPresent()) {
+            sendError(caller, 0, error.get());
             return;
         }
         submittedUnderTicket(caller, submission, numbered.get());
@@ -60,9 +63,9 @@
     }
 
     void numberLookedUp(long caller, TicketNumber ticketNumber, String organisation) {
-        Optional<Outcome> fault = ticketError(ticketNumber.ticket(), organisation);
-        if (fault.isPresent()) {
-            sendError(caller, 0, fault.get());
+        Optional<Outcome> error = ticketError(ticketNumber.ticket(), organisation);
+        if (error.isPresent()) {
+            sendError(caller, 0, error.get());
             return;
         }
         Optional<NumberRecord> seen =
@@ -102,7 +105,7 @@
         }
     }
 
-    /** Ends the grace of a request whose callers did not come back. */
+    /** Cancels a request whose callers did not rejoin within the grace time. */
     void rejoinGraceExpired(Request request) {
         request.rejoinGraceEndsAtMillis = Long.MAX_VALUE;
         if (!mustRunToCompletion(request)) {
@@ -116,9 +119,9 @@
                     caller, 0, state.failure(ErrorKind.TICKET_REQUIRED, HomeText.get("the-call-may-not-be-repeated")));
             return;
         }
-        Optional<Outcome> obstacle = admissionError(submission);
-        if (obstacle.isPresent()) {
-            sendError(caller, state.nextSequence(), obstacle.get());
+        Optional<Outcome> error = admissionError(submission);
+        if (error.isPresent()) {
+            sendError(caller, state.nextSequence(), error.get());
             return;
         }
         accept(caller, submission, state.nextSequence());
@@ -145,12 +148,12 @@
                     state.failure(ErrorKind.BAD_VALUE, HomeText.get("too-many-gaps-in-the-numbers-take-a-new")));
             return;
         }
-        Optional<Outcome> obstacle = admissionError(submission);
-        if (obstacle.isPresent()) {
-            // The number is used up by this refusal. A copy of the request that comes late over another path must
-            // not run after its caller was told that it did not.
-            state.recordEnded(sequence, submission, obstacle.get());
-            sendError(caller, sequence, obstacle.get());
+        Optional<Outcome> error = admissionError(submission);
+        if (error.isPresent()) {
+            // This rejection consumes the number. A copy of the request that arrives late over another path must
+            // not run, because its caller was told that it did not.
+            state.recordEnded(sequence, submission, error.get());
+            sendError(caller, sequence, error.get());
             return;
         }
         accept(caller, submission, sequence);
@@ -197,8 +200,8 @@
     }
 
     private Optional<Outcome> ticketError(Ticket ticket, String organisation) {
-        boolean isOurs = ticket.home().equals(state.settings.host());
-        if (!isOurs || !ticket.organisation().equals(organisation)) {
+        boolean issuedHere = ticket.home().equals(state.settings.host());
+        if (!issuedHere || !ticket.organisation().equals(organisation)) {
             return Optional.of(
                     state.failure(ErrorKind.BAD_TICKET, HomeText.get("the-ticket-belongs-to-somebody-else")));
         }
@@ -226,7 +229,8 @@
         return Optional.empty();
     }
 
-    // A full host must not turn a ranger away while it keeps a lower tier waiting. What was sent stays.
+    // A full host must not reject a request of a higher tier while requests of lower tiers wait. Only waiting requests
+    // are shed, never sent ones.
     private boolean shedLowerTier(int tierRank) {
         Optional<Request> lowest = state.liveById.values().stream()
                 .filter(request -> request.phase == RequestPhase.WAITING)
@@ -252,8 +256,8 @@
         state.scheduleTimer(request);
     }
 
-    // A call that may not be repeated and is under way goes on to its end: its caller will ask what became of it, and
-    // only a whole answer tells.
+    // A granted or sent call that is not idempotent runs to completion without callers: its caller will query the
+    // outcome, and only the complete answer provides it.
     private static boolean mustRunToCompletion(Request request) {
         return !request.submission.isIdempotent() && request.phase != RequestPhase.WAITING;
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Delivery.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Delivery.java
@@ -7,7 +7,7 @@
 import org.whinwharf.wire.message.FinishKind;
 import org.whinwharf.wire.schema.StreamToken;
 
-/** Handles what comes from targets, and gives callers the answer in order. */
+/** Handles events from targets and delivers the answer to the callers in order. */
 final class Delivery {
     private final HomeState state;
     private final RequestCompletion completion;
@@ -33,8 +33,8 @@
     }
 
     void connectFailed(Request request) {
-        boolean neverLeft = request.phase == RequestPhase.GRANTED && request.gate.close();
-        if (neverLeft || request.phase == RequestPhase.SENT && request.resumeAttempts == 0) {
+        boolean dispatchPrevented = request.phase == RequestPhase.GRANTED && request.gate.close();
+        if (dispatchPrevented || request.phase == RequestPhase.SENT && request.resumeAttempts == 0) {
             queueing.connectFailed(request);
         } else {
             streamBroken(request, HomeText.get("no-connection"));
@@ -73,7 +73,8 @@
         if (request.assembler.isComplete()) {
             completion.complete(request, Answer.ofTexts(request.assembler.texts()));
         } else if (request.assembler.hasGap() && !request.gapResumed) {
-            // A token is missing although later ones came. Without asking again the caller would wait for ever.
+            // A token is missing although later ones arrived. Resuming the stream requests it again; otherwise the
+            // caller would wait for ever.
             request.gapResumed = true;
             resumeStream(request, 0, HomeText.get("token-missing", request.assembler.nextIndex()));
         }
@@ -115,7 +116,7 @@
         }
     }
 
-    /** Lets a caller have the answer from an index on. */
+    /** Adds a caller that receives the answer from a token index on. */
     void addCaller(Request request, long caller, int fromIndex) {
         request.callers.put(caller, fromIndex);
         state.requestOfCaller.put(caller, request.sequence);
@@ -172,13 +173,13 @@
         completion.fail(request, ErrorKind.TARGET_LOST, reason, FinishKind.LOST);
     }
 
-    // The first attempt comes at once; later ones are spread, so that all streams of a target that came back do not
-    // ask in the same instant.
+    // The first attempt is immediate. Later ones are jittered, so that the streams of a recovered target do not all
+    // resume at the same instant.
     private long backoffMillis(int attempts) {
         if (attempts == 0) {
             return 0;
         }
-        double most = state.settings.resumeBackoffMillis() * Math.pow(2, attempts - 1);
-        return Math.round(most * (1 + random.nextDouble()) / 2);
+        double maxMillis = state.settings.resumeBackoffMillis() * Math.pow(2, attempts - 1);
+        return Math.round(maxMillis * (1 + random.nextDouble()) / 2);
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Home.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Home.java
@@ -7,11 +7,15 @@
 import org.whinwharf.routing.RoutingPolicy;
 
 /**
- * Home of requests: the one place that may send them.
+ * State machine of the requests of one home.
  *
- * <p>A request leaves at most once. It is told "not run" only after its {@link SendGate} was closed or before one was
- * made, so that it cannot leave any more. Each caller gets exactly one last action. Not safe for use by several
- * threads.
+ * <p>The home of a request is the entry process that accepted it, the only process that may dispatch it. A sealed
+ * {@link org.whinwharf.ticket.Ticket} names the home, so that other entry processes relay requests under that ticket to
+ * it.
+ *
+ * <p>A request is sent at most once. A caller is told "not run" only before a {@link SendGate} was created for the
+ * request or after it was closed, because the request cannot be sent any more then, or when the target rejected the
+ * request without admitting it. Each caller receives exactly one final action. Not thread-safe.
  */
 public final class Home {
     private final HomeState state;
@@ -24,9 +28,9 @@
     /**
      * Creates a home without requests.
      *
-     * @param settings bounds and waits
-     * @param view what is in force
-     * @param policy how a slice is chosen
+     * @param settings limits and timeouts
+     * @param view view of the active document and the host list
+     * @param policy policy that selects a slice
      * @param random source of random numbers
      */
     public Home(HomeSettings settings, HomeView view, RoutingPolicy policy, UniformRandomProvider random) {
@@ -41,9 +45,9 @@
     /**
      * Handles an event.
      *
-     * @param event what happened
-     * @param nowMillis this host's monotonic clock
-     * @return what is to be done, in this order
+     * @param event the event
+     * @param nowMillis current time of this host's monotonic clock, in milliseconds
+     * @return actions to execute, in this order
      */
     public List<HomeAction> handle(HomeEvent event, long nowMillis) {
         state.nowMillis = nowMillis;
@@ -52,7 +56,7 @@
     }
 
     /**
-     * Counts the requests that were not sent yet.
+     * Counts the accepted requests that were not sent yet.
      *
      * @return count
      */
@@ -63,7 +67,7 @@
     }
 
     /**
-     * Counts the requests that neither ended nor were turned away.
+     * Counts the accepted requests that have not ended.
      *
      * @return count
      */
@@ -74,7 +78,7 @@
     /**
      * Returns the text form of a request's identifier.
      *
-     * @param sequence request
+     * @param sequence number of the request, unique in this incarnation
      * @return identifier
      */
     public String requestId(long sequence) {
@@ -82,7 +86,7 @@
     }
 
     private void withLive(long sequence, Consumer<Request> work) {
-        // What comes for a request that has ended is late news and changes nothing.
+        // An event for a request that has ended is stale and is ignored.
         Request request = state.liveById.get(sequence);
         if (request != null) {
             work.accept(request);
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeAction.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeAction.java
@@ -2,127 +2,127 @@
 
 import org.whinwharf.wire.message.Frame;
 
-/** What a home wants done. */
+/** Action that a home requests from its entry process. */
 public sealed interface HomeAction {
     /**
-     * Hands this to the method of a handler that is made for it.
+     * Passes this action to the handler's method for its type.
      *
      * @param handler the handler
      */
     void accept(Handler handler);
 
-    /** Carries actions out. */
+    /** Executes actions, with one method per type. */
     interface Handler {
         /**
          * Handles {@link SendToOwner}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(SendToOwner action);
 
         /**
          * Handles {@link Dispatch}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(Dispatch action);
 
         /**
          * Handles {@link ResumeStream}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(ResumeStream action);
 
         /**
          * Handles {@link CancelAtTarget}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(CancelAtTarget action);
 
         /**
          * Handles {@link ReleaseConnection}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(ReleaseConnection action);
 
         /**
          * Handles {@link AnswerHead}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(AnswerHead action);
 
         /**
          * Handles {@link AnswerToken}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(AnswerToken action);
 
         /**
          * Handles {@link AnswerBody}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(AnswerBody action);
 
         /**
          * Handles {@link AnswerEnd}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(AnswerEnd action);
 
         /**
          * Handles {@link AnswerError}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(AnswerError action);
 
         /**
          * Handles {@link ReplayAnswer}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(ReplayAnswer action);
 
         /**
          * Handles {@link AnswerState}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(AnswerState action);
 
         /**
          * Handles {@link CacheAnswer}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(CacheAnswer action);
 
         /**
          * Handles {@link Note}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(Note action);
 
         /**
          * Handles {@link RecordMetrics}.
          *
-         * @param action what happens
+         * @param action the action
          */
         void on(RecordMetrics action);
     }
 
     /**
-     * Send a frame to the scheduler of a host.
+     * Sends a frame to the scheduler of a host.
      *
-     * @param owner host
+     * @param owner host of the scheduler that owns the slice
      * @param frame the frame
      */
     record SendToOwner(String owner, Frame frame) implements HomeAction {
@@ -133,12 +133,13 @@
     }
 
     /**
-     * Send the request to a target, if its gate still lets it. Comes at most once for a request that left.
+     * Sends a request to a target, if its send gate permits. A home emits no further dispatch for a request that was
+     * sent.
      *
-     * @param sequence request, unique in this incarnation
-     * @param location where the request is
+     * @param sequence number of the request, unique in this incarnation
+     * @param location target of the request
      * @param submission the request
-     * @param gate to be asked right before sending
+     * @param gate gate that the sender checks immediately before sending
      */
     record Dispatch(long sequence, RequestLocation location, Submission submission, SendGate gate)
             implements HomeAction {
@@ -149,12 +150,12 @@
     }
 
     /**
-     * Take up a stream again that the target already has. Starts nothing.
+     * Resumes a stream that the target already has. Never starts a request.
      *
-     * @param sequence request, unique in this incarnation
-     * @param location where the request is
-     * @param fromIndex first token that is lacking
-     * @param delayMillis how long to wait before
+     * @param sequence number of the request, unique in this incarnation
+     * @param location target that the request was sent to
+     * @param fromIndex index of the first missing token
+     * @param delayMillis backoff before the attempt
      */
     record ResumeStream(long sequence, RequestLocation location, int fromIndex, long delayMillis)
             implements HomeAction {
@@ -165,11 +166,11 @@
     }
 
     /**
-     * End the work at the target.
+     * Cancels the request at its target.
      *
-     * @param sequence request, unique in this incarnation
-     * @param location where the request is
-     * @param isEngine false for plain services, which know no cancelling
+     * @param sequence number of the request, unique in this incarnation
+     * @param location target that the request was sent to
+     * @param isEngine false for plain services, which do not support cancellation
      */
     record CancelAtTarget(long sequence, RequestLocation location, boolean isEngine) implements HomeAction {
         @Override
@@ -179,9 +180,9 @@
     }
 
     /**
-     * Let go of the connection to the target; its answer is whole or of no more use.
+     * Releases the connection to the target, because the answer is complete or no longer needed.
      *
-     * @param sequence request, unique in this incarnation
+     * @param sequence number of the request, unique in this incarnation
      */
     record ReleaseConnection(long sequence) implements HomeAction {
         @Override
@@ -191,11 +192,11 @@
     }
 
     /**
-     * Tell a caller that its request was sent.
+     * Tells a caller that its request was sent.
      *
-     * @param caller handle of the connection
-     * @param sequence request, unique in this incarnation
-     * @param location where the request is
+     * @param caller handle of the caller's connection
+     * @param sequence number of the request, unique in this incarnation
+     * @param location target that the request was sent to
      * @param organisation organisation of the request
      */
     record AnswerHead(long caller, long sequence, RequestLocation location, String organisation) implements HomeAction {
@@ -206,9 +207,9 @@
     }
 
     /**
-     * Give a caller the next token.
+     * Sends the next token to a caller.
      *
-     * @param caller handle of the connection
+     * @param caller handle of the caller's connection
      * @param index index of the token
      * @param text its text
      */
@@ -220,11 +221,11 @@
     }
 
     /**
-     * Give a caller the whole answer of a plain service; the last thing it gets.
+     * Sends the complete answer of a plain service to a caller. Final action for the caller.
      *
-     * @param caller handle of the connection
-     * @param sequence request, unique in this incarnation
-     * @param target who answered
+     * @param caller handle of the caller's connection
+     * @param sequence number of the request, unique in this incarnation
+     * @param target target that answered
      * @param answer the answer
      */
     record AnswerBody(long caller, long sequence, String target, Answer answer) implements HomeAction {
@@ -235,12 +236,12 @@
     }
 
     /**
-     * Tell a caller that its answer is whole; the last thing it gets.
+     * Tells a caller that its answer is complete. Final action for the caller.
      *
-     * @param caller handle of the connection
-     * @param sequence request, unique in this incarnation
-     * @param target who answered
-     * @param tokens tokens of the whole answer
+     * @param caller handle of the caller's connection
+     * @param sequence number of the request, unique in this incarnation
+     * @param target target that answered
+     * @param tokens number of tokens in the answer
      */
     record AnswerEnd(long caller, long sequence, String target, int tokens) implements HomeAction {
         @Override
@@ -250,10 +251,10 @@
     }
 
     /**
-     * Tell a caller how its request failed; the last thing it gets.
+     * Sends the error of a failed request to a caller. Final action for the caller.
      *
-     * @param caller handle of the connection
-     * @param sequence request, unique in this incarnation
+     * @param caller handle of the caller's connection
+     * @param sequence number of the request, unique in this incarnation
      * @param outcome the failure
      */
     record AnswerError(long caller, long sequence, Outcome outcome) implements HomeAction {
@@ -264,11 +265,11 @@
     }
 
     /**
-     * Give a caller the kept answer of an ended request; the last thing it gets.
+     * Sends the stored answer of an ended request to a caller. Final action for the caller.
      *
-     * @param caller handle of the connection
-     * @param sequence request, unique in this incarnation
-     * @param fromIndex first token that the caller lacks
+     * @param caller handle of the caller's connection
+     * @param sequence number of the request, unique in this incarnation
+     * @param fromIndex index of the first token that the caller has not received
      * @param outcome how the request ended
      */
     record ReplayAnswer(long caller, long sequence, int fromIndex, Outcome outcome) implements HomeAction {
@@ -279,12 +280,12 @@
     }
 
     /**
-     * Tell a caller what became of a request; the last thing it gets.
+     * Sends the state of a request to a caller. Final action for the caller.
      *
-     * @param caller handle of the connection
-     * @param sequence request, unique in this incarnation
-     * @param phase where the request is
-     * @param outcome how it ended, so far whole when it has not
+     * @param caller handle of the caller's connection
+     * @param sequence number of the request, unique in this incarnation
+     * @param phase phase of the request
+     * @param outcome outcome of the request; without error, with the tokens so far, when it has not ended
      */
     record AnswerState(long caller, long sequence, RequestPhase phase, Outcome outcome) implements HomeAction {
         @Override
@@ -294,9 +295,9 @@
     }
 
     /**
-     * Keep a whole answer for callers that ask again.
+     * Stores a complete answer for callers that ask for it again.
      *
-     * @param sequence request, unique in this incarnation
+     * @param sequence number of the request, unique in this incarnation
      * @param answer the answer
      */
     record CacheAnswer(long sequence, Answer answer) implements HomeAction {
@@ -307,11 +308,11 @@
     }
 
     /**
-     * Record what happened to a request.
+     * Records a step of a request.
      *
-     * @param sequence request, unique in this incarnation
-     * @param note what happened
-     * @param detail fact that explains it, free of prompts and secrets
+     * @param sequence number of the request, unique in this incarnation
+     * @param note the step
+     * @param detail explanation of the step, without prompts or secrets
      */
     record Note(long sequence, HomeNote note, String detail) implements HomeAction {
         @Override
@@ -321,12 +322,12 @@
     }
 
     /**
-     * Count an ended request.
+     * Records the metrics of an ended request.
      *
-     * @param sequence request, unique in this incarnation
+     * @param sequence number of the request, unique in this incarnation
      * @param submission the request
-     * @param outcome how it ended
-     * @param times its times and token counts
+     * @param outcome outcome of the request
+     * @param times times and token counts of the request
      */
     record RecordMetrics(long sequence, Submission submission, Outcome outcome, RequestTimes times)
             implements HomeAction {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeEvent.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeEvent.java
@@ -7,10 +7,10 @@
 import org.whinwharf.wire.message.SliceStatus;
 import org.whinwharf.wire.schema.StreamToken;
 
-/** What can happen at a home. */
+/** Event that a home handles. */
 public sealed interface HomeEvent {
     /**
-     * Hands this to the method of a handler that is made for it.
+     * Passes this event to the handler's method for its type.
      *
      * @param handler the handler
      */
@@ -19,7 +19,7 @@
     /**
      * A caller submits a request.
      *
-     * @param caller handle of the connection that asked
+     * @param caller handle of the caller's connection
      * @param submission the request
      */
     record Submitted(long caller, Submission submission) implements HomeEvent {
@@ -30,12 +30,12 @@
     }
 
     /**
-     * A caller asks for the answer of a known request.
+     * A caller asks for the answer of a request that it submitted before.
      *
-     * @param caller handle of the connection that asked
-     * @param sequence request, unique in this incarnation
+     * @param caller handle of the caller's connection
+     * @param sequence number of the request, unique in this incarnation
      * @param organisation organisation of the caller
-     * @param fromIndex first token that the caller lacks
+     * @param fromIndex index of the first token that the caller has not received
      */
     record Rejoined(long caller, long sequence, String organisation, int fromIndex) implements HomeEvent {
         @Override
@@ -45,10 +45,10 @@
     }
 
     /**
-     * A caller asks what became of a request.
+     * A caller asks for the state of a request.
      *
-     * @param caller handle of the connection that asked
-     * @param sequence request, unique in this incarnation
+     * @param caller handle of the caller's connection
+     * @param sequence number of the request, unique in this incarnation
      * @param organisation organisation of the caller
      */
     record LookedUp(long caller, long sequence, String organisation) implements HomeEvent {
@@ -59,10 +59,10 @@
     }
 
     /**
-     * A caller asks what became of a number under a ticket.
+     * A caller asks for the state of the request that has a number under a ticket.
      *
-     * @param caller handle of the connection that asked
-     * @param ticketNumber ticket and number
+     * @param caller handle of the caller's connection
+     * @param ticketNumber ticket and number of the request
      * @param organisation organisation of the caller
      */
     record NumberLookedUp(long caller, TicketNumber ticketNumber, String organisation) implements HomeEvent {
@@ -75,8 +75,8 @@
     /**
      * A caller cancels a request.
      *
-     * @param caller handle of the connection that asked
-     * @param sequence request, unique in this incarnation
+     * @param caller handle of the caller's connection
+     * @param sequence number of the request, unique in this incarnation
      * @param organisation organisation of the caller
      */
     record CancelRequested(long caller, long sequence, String organisation) implements HomeEvent {
@@ -87,9 +87,9 @@
     }
 
     /**
-     * The connection of a caller is gone.
+     * The connection of a caller is closed.
      *
-     * @param caller handle of the connection that asked
+     * @param caller handle of the caller's connection
      */
     record CallerDisconnected(long caller) implements HomeEvent {
         @Override
@@ -99,9 +99,9 @@
     }
 
     /**
-     * A caller has more unread than is kept for it.
+     * The unread part of the answer exceeds the caller's buffer.
      *
-     * @param caller handle of the connection that asked
+     * @param caller handle of the caller's connection
      */
     record CallerSlow(long caller) implements HomeEvent {
         @Override
@@ -113,7 +113,7 @@
     /**
      * An owner grants a slot.
      *
-     * @param owner host whose scheduler spoke
+     * @param owner host of the scheduler that owns the slice
      * @param grant the grant
      */
     record Granted(String owner, Grant grant) implements HomeEvent {
@@ -124,9 +124,9 @@
     }
 
     /**
-     * An owner refuses a request.
+     * An owner refuses to queue or serve a request.
      *
-     * @param owner host whose scheduler spoke
+     * @param owner host of the scheduler that owns the slice
      * @param refusal the refusal
      */
     record Refused(String owner, Refusal refusal) implements HomeEvent {
@@ -137,9 +137,9 @@
     }
 
     /**
-     * An owner calls a grant back.
+     * An owner recalls a grant.
      *
-     * @param owner host whose scheduler spoke
+     * @param owner host of the scheduler that owns the slice
      * @param recall the recall
      */
     record Recalled(String owner, Recall recall) implements HomeEvent {
@@ -150,9 +150,9 @@
     }
 
     /**
-     * An owner says how its slice stands.
+     * An owner reports the status of its slice.
      *
-     * @param status its word
+     * @param status the reported status
      */
     record StatusReceived(SliceStatus status) implements HomeEvent {
         @Override
@@ -162,9 +162,9 @@
     }
 
     /**
-     * The link to a scheduler is up.
+     * The connection to a scheduler is established.
      *
-     * @param owner host whose scheduler spoke
+     * @param owner host of the scheduler that owns the slice
      */
     record OwnerConnected(String owner) implements HomeEvent {
         @Override
@@ -174,9 +174,9 @@
     }
 
     /**
-     * The link to a scheduler is gone.
+     * The connection to a scheduler is lost.
      *
-     * @param owner host whose scheduler spoke
+     * @param owner host of the scheduler that owns the slice
      */
     record OwnerDisconnected(String owner) implements HomeEvent {
         @Override
@@ -186,9 +186,9 @@
     }
 
     /**
-     * The document or the host list changed.
+     * The active document or the host list changed.
      *
-     * @param view what is now in force
+     * @param view the new view
      */
     record ViewChanged(HomeView view) implements HomeEvent {
         @Override
@@ -198,9 +198,9 @@
     }
 
     /**
-     * The request was given to the network.
+     * The request was handed to the network.
      *
-     * @param sequence request, unique in this incarnation
+     * @param sequence number of the request, unique in this incarnation
      */
     record Sent(long sequence) implements HomeEvent {
         @Override
@@ -210,9 +210,9 @@
     }
 
     /**
-     * The gate kept the request back; it did not leave and never will by this grant.
+     * The send gate was closed first: the request was not sent and never will be under this grant.
      *
-     * @param sequence request, unique in this incarnation
+     * @param sequence number of the request, unique in this incarnation
      */
     record NotSent(long sequence) implements HomeEvent {
         @Override
@@ -222,9 +222,9 @@
     }
 
     /**
-     * No connection to the target came about, so that no byte of the request left.
+     * The connection to the target failed, so no byte of the request was sent.
      *
-     * @param sequence request, unique in this incarnation
+     * @param sequence number of the request, unique in this incarnation
      */
     record ConnectFailed(long sequence) implements HomeEvent {
         @Override
@@ -234,9 +234,9 @@
     }
 
     /**
-     * The target refused the request before it admitted it.
+     * The target rejected the request without admitting it.
      *
-     * @param sequence request, unique in this incarnation
+     * @param sequence number of the request, unique in this incarnation
      */
     record TargetRefused(long sequence) implements HomeEvent {
         @Override
@@ -246,9 +246,9 @@
     }
 
     /**
-     * The target answered with an error of its own.
+     * The target answered with an error status.
      *
-     * @param sequence request, unique in this incarnation
+     * @param sequence number of the request, unique in this incarnation
      * @param status HTTP status
      */
     record TargetFailed(long sequence, int status) implements HomeEvent {
@@ -261,7 +261,7 @@
     /**
      * A token of the answer arrived.
      *
-     * @param sequence request, unique in this incarnation
+     * @param sequence number of the request, unique in this incarnation
      * @param token the token
      */
     record TokenReceived(long sequence, StreamToken token) implements HomeEvent {
@@ -274,10 +274,10 @@
     /**
      * A plain service answered.
      *
-     * @param sequence request, unique in this incarnation
+     * @param sequence number of the request, unique in this incarnation
      * @param status HTTP status
      * @param contentType media type
-     * @param body the whole body
+     * @param body complete body
      */
     record CallAnswered(long sequence, int status, String contentType, ByteString body) implements HomeEvent {
         @Override
@@ -287,10 +287,10 @@
     }
 
     /**
-     * The connection to the target ended before the answer did.
+     * The connection to the target closed before the answer was complete.
      *
-     * @param sequence request, unique in this incarnation
-     * @param reason why, for the log
+     * @param sequence number of the request, unique in this incarnation
+     * @param reason cause, for the log
      */
     record StreamBroken(long sequence, String reason) implements HomeEvent {
         @Override
@@ -300,9 +300,9 @@
     }
 
     /**
-     * The target does not know the stream that was to be resumed.
+     * The target does not know the stream that the home tries to resume.
      *
-     * @param sequence request, unique in this incarnation
+     * @param sequence number of the request, unique in this incarnation
      */
     record StreamUnknown(long sequence) implements HomeEvent {
         @Override
@@ -311,7 +311,7 @@
         }
     }
 
-    /** A planned stop begins. */
+    /** A planned stop begins: the home rejects new requests and completes those it has accepted. */
     record StopRequested() implements HomeEvent {
         @Override
         public void accept(HomeEventHandler handler) {
@@ -319,7 +319,7 @@
         }
     }
 
-    /** Time has passed. */
+    /** The periodic tick: expired timers and tickets are due for handling. */
     record Ticked() implements HomeEvent {
         @Override
         public void accept(HomeEventHandler handler) {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeNote.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeNote.java
@@ -2,29 +2,29 @@
 
 import java.util.Locale;
 
-/** Closed list of what a home records about a request. */
+/** Steps of a request that a home records. */
 public enum HomeNote {
-    /** Taken on by this home. */
+    /** Accepted by this home. */
     ACCEPTED,
-    /** A repeat joined the first attempt. */
+    /** A repeated submission joined the first attempt. */
     JOINED,
     /** Queued at an owner. */
     ENQUEUED,
-    /** No owner could be asked; asked again shortly. */
+    /** No slice owner is connected; placement is retried shortly. */
     UNPLACED,
-    /** An owner refused it. */
+    /** An owner refused the request. */
     REFUSED,
     /** An owner granted a slot. */
     GRANTED,
     /** A grant was returned unused. */
     GRANT_RETURNED,
-    /** Given to the network. */
+    /** Handed to the network. */
     SENT,
     /** The first token arrived. */
     FIRST_TOKEN,
     /** The connection to the target broke; the stream is resumed. */
     RESUMED,
-    /** Its last caller went away. */
+    /** The last caller of the request disconnected. */
     CALLERS_GONE,
     /** Ended. */
     ENDED;
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeSettings.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeSettings.java
@@ -2,12 +2,12 @@
 
 import org.immutables.value.Value;
 
-/** Bounds and waits of a home. */
+/** Limits and timeouts of a home. */
 @Value.Immutable
 @Value.Style(build = "call", visibility = Value.Style.ImplementationVisibility.PACKAGE)
 public interface HomeSettings {
     /**
-     * Starts the description.
+     * Creates a builder.
      *
      * @return a builder
      */
@@ -16,7 +16,7 @@
     }
 
     /**
-     * Returns this host.
+     * Returns the name of this host.
      *
      * @return name
      */
@@ -30,14 +30,14 @@
     String dataCentre();
 
     /**
-     * Returns the random number drawn at this start.
+     * Returns the random number that identifies this run of the process.
      *
      * @return incarnation
      */
     long incarnation();
 
     /**
-     * Returns the most requests that wait or run at once.
+     * Returns the maximum number of requests that wait or run at once.
      *
      * @return count
      */
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Returns the most tickets whose numbers are held.
+     * Returns the maximum number of tickets whose request numbers are held.
      *
      * @return count
      */
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Returns the most ended requests whose outcome is held.
+     * Returns the maximum number of ended requests whose outcome is held.
      *
      * @return count
      */
@@ -67,7 +67,8 @@
     }
 
     /**
-     * Returns how long work goes on for a caller that went away and may come back under its ticket.
+     * Returns how long a request continues after its last caller disconnected. The caller may rejoin it with its ticket
+     * in that time.
      *
      * @return milliseconds
      */
@@ -77,7 +78,7 @@
     }
 
     /**
-     * Returns the time between two attempts to find an owner for a request.
+     * Returns the interval between two attempts to find a connected owner for a request.
      *
      * @return milliseconds
      */
@@ -87,7 +88,8 @@
     }
 
     /**
-     * Returns how long a request waits at one owner before the home looks for room elsewhere.
+     * Returns how long a request waits at one owner before the home looks for a better slice, and the interval between
+     * further checks.
      *
      * @return milliseconds
      */
@@ -97,7 +99,7 @@
     }
 
     /**
-     * Returns when callers are told to come back where no owner said better.
+     * Returns the Retry-After delay for rejections without a delay from an owner.
      *
      * @return milliseconds
      */
@@ -107,7 +109,7 @@
     }
 
     /**
-     * Returns the most attempts in a row to resume a stream without a new token.
+     * Returns the maximum number of consecutive attempts to resume a stream that yield no new token.
      *
      * @return count
      */
@@ -117,7 +119,7 @@
     }
 
     /**
-     * Returns the wait before the second attempt to resume; it doubles with each further one.
+     * Returns the backoff before the second attempt to resume a stream; it doubles with each further attempt.
      *
      * @return milliseconds
      */
@@ -126,6 +128,6 @@
         return 50;
     }
 
-    /** Describes the settings. */
+    /** Builds the settings. */
     class Builder extends ImmutableHomeSettings.Builder {}
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeState.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeState.java
@@ -10,7 +10,7 @@
 import org.whinwharf.routing.SliceTracker;
 import org.whinwharf.ticket.RequestId;
 
-/** State that the parts of a home share while they handle an event. */
+/** State shared by the classes that handle the events of a home. */
 final class HomeState {
     final HomeSettings settings;
     final SliceTracker sliceTracker = new SliceTracker();
@@ -71,7 +71,7 @@
         timers.add(new Timer(request.nextTimerMillis(), request.sequence));
     }
 
-    /** Returns the live requests for which something is due, each of them once, and forgets those dues. */
+    /** Removes the expired timers and returns their live requests, each of them once. */
     List<Request> takeRequestsWithExpiredTimer() {
         Map<Long, Request> due = new LinkedHashMap<>();
         while (!timers.isEmpty() && timers.peek().atMillis() <= nowMillis) {
@@ -91,7 +91,7 @@
         endedById.put(sequence, new Ended(submission.organisation(), outcome));
     }
 
-    /** What stays known of an ended request. */
+    /** Organisation and outcome of an ended request. */
     record Ended(String organisation, Outcome outcome) {}
 
     private record Timer(long atMillis, long sequence) implements Comparable<Timer> {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeText.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeText.java
@@ -2,7 +2,7 @@
 
 import org.whinwharf.text.Text;
 
-/** Looks up the text in which a home explains itself to people. */
+/** Looks up the human-readable texts of a home in {@code Home.properties}. */
 final class HomeText {
     private static final String BUNDLE = "org.whinwharf.home.Home";
 
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeView.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeView.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import org.whinwharf.wire.message.SliceId;
 
-/** Immutable view of the document in force and of the host list, as far as a home looks at them. */
+/** Immutable view of the parts of the active document and of the host list that a home needs. */
 public interface HomeView {
     /**
      * Tells whether a data centre may receive new work.
      *
      * @param dataCentre name
-     * @return true when the document has it in service
+     * @return true when the document marks it as in service
      */
     boolean isInService(String dataCentre);
 
@@ -17,7 +17,7 @@
      * Tells whether a target may receive new work.
      *
      * @param target name
-     * @return true when it is listed, live and its data centre in service
+     * @return true when it is listed and live and its data centre is in service
      */
     boolean isUsable(String target);
 
@@ -30,15 +30,15 @@
     List<SliceId> slices(String service);
 
     /**
-     * Returns the hosts that may own a slice.
+     * Returns the hosts that may own a slice, by preference.
      *
      * @param slice the slice
-     * @return names, the one that is to own it first
+     * @return names, the preferred owner first
      */
     List<String> owners(SliceId slice);
 
     /**
-     * Returns what a hop to a data centre costs.
+     * Returns the extra latency of a request to a data centre.
      *
      * @param dataCentre name
      * @return milliseconds
@@ -46,14 +46,14 @@
     double distanceMillis(String dataCentre);
 
     /**
-     * Returns the retries allowed per fresh request.
+     * Returns the number of retries allowed per new request.
      *
      * @return ratio
      */
     double retryRatio();
 
     /**
-     * Returns the retries a second that are allowed whatever the load.
+     * Returns the number of retries per second that are allowed at any load.
      *
      * @return rate
      */
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Outcome.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Outcome.java
@@ -7,17 +7,17 @@
 /**
  * How a request ended.
  *
- * @param error kind of the error, or nothing when the answer is whole
- * @param detail what exactly happened, for people
- * @param retryAfterMillis when to come back; 0 when the kind says nothing of it
+ * @param error kind of the error; empty when the answer is complete
+ * @param detail human-readable description of the error
+ * @param retryAfterMillis Retry-After delay in milliseconds; 0 when the kind of error has none
  * @param target target that the request was sent to; empty when it was not sent
  * @param tokens tokens of the answer
  */
 public record Outcome(Optional<ErrorKind> error, String detail, long retryAfterMillis, String target, int tokens) {
     /**
-     * Makes the outcome of a whole answer.
+     * Creates the outcome of a complete answer.
      *
-     * @param target who answered
+     * @param target target that answered
      * @param tokens tokens of the answer
      * @return outcome without error
      */
@@ -26,22 +26,22 @@
     }
 
     /**
-     * Makes the outcome of a failure.
+     * Creates the outcome of a failure.
      *
-     * @param kind which error
-     * @param detail what exactly happened
-     * @param retryAfterMillis when to come back
-     * @param target who was asked; empty when nobody was
+     * @param kind kind of the error
+     * @param detail human-readable description of the error
+     * @param retryAfterMillis Retry-After delay in milliseconds; ignored when the kind of error has none
+     * @param target target that the request was sent to; empty when it was not sent
      * @return outcome with the error
      */
-    public static Outcome failed(ErrorKind kind, String detail, long comeBackMillis, String target) {
-        return new Outcome(Optional.of(kind), detail, kind.comeBack() ? comeBackMillis : 0, target, 0);
+    public static Outcome failed(ErrorKind kind, String detail, long retryAfterMillis, String target) {
+        return new Outcome(Optional.of(kind), detail, kind.comeBack() ? retryAfterMillis : 0, target, 0);
     }
 
     /**
      * Returns whether the request ran.
      *
-     * @return what is known of it
+     * @return whether it ran, or that this is unknown
      */
     public Ran ran() {
         return error.map(ErrorKind::ran).orElse(Ran.RAN);
--- a/org.whinwharf/src/main/java/org/whinwharf/home/OwnerLinks.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/OwnerLinks.java
@@ -13,7 +13,7 @@
 import org.whinwharf.wire.message.InFlight;
 import org.whinwharf.wire.message.SliceId;
 
-/** What a home says to the owners of slices, and which of them it can reach. */
+/** Tracks the connected slice owners and sends messages to them. */
 final class OwnerLinks {
     private final HomeState state;
     private final Set<String> connectedOwners = new HashSet<>();
@@ -33,11 +33,12 @@
     }
 
     void viewChanged() {
-        // An owner that lost a slice and got it back has forgotten what is in flight there.
+        // An owner that lost a slice and got it back no longer knows the requests in flight there, so they are
+        // reported to it again.
         inFlightReported.clear();
     }
 
-    /** Returns the host to ask for a slice; nothing when it can't be reached. */
+    /** Returns the preferred owner of a slice that has not refused; empty when that host is not connected. */
     Optional<String> connectedOwner(SliceId slice, Set<String> refusing) {
         return state.view.owners(slice).stream()
                 .filter(owner -> !refusing.contains(owner))
@@ -105,14 +106,14 @@
                 .setAnswerTokens(times.answerTokens())
                 .build();
         Frame frame = Frame.newBuilder().setFinished(finished).build();
-        Set<String> counting = new LinkedHashSet<>();
-        counting.add(request.grantOwner);
-        // Another host may own the slice by now and count this request since the list of those in flight. The view may
-        // still name the host that leaves: were the one that got the list not told, it would hold the place for ever,
-        // which shows as requests that wait at idle targets.
-        counting.addAll(request.ownersCountingInFlight);
-        connectedOwner(grant.getSlice(), Set.of()).ifPresent(counting::add);
-        counting.forEach(owner -> send(owner, frame));
+        Set<String> recipients = new LinkedHashSet<>();
+        recipients.add(request.grantOwner);
+        // Another host may own the slice by now, and counts this request if it received the list of requests in
+        // flight. The view may still name the host that leaves. Without this message the new owner would keep the slot
+        // occupied for ever, which shows as requests that wait while targets are idle.
+        recipients.addAll(request.ownersCountingInFlight);
+        connectedOwner(grant.getSlice(), Set.of()).ifPresent(recipients::add);
+        recipients.forEach(owner -> send(owner, frame));
     }
 
     static String name(SliceId slice) {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Queueing.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Queueing.java
@@ -12,7 +12,7 @@
 import org.whinwharf.wire.message.Refusal;
 import org.whinwharf.wire.message.SliceId;
 
-/** Finds an owner for each waiting request and handles what owners answer. */
+/** Queues each waiting request at the owner of a slice and handles the messages of owners. */
 final class Queueing {
     private final HomeState state;
     private final OwnerLinks owners;
@@ -33,7 +33,7 @@
         this.random = random;
     }
 
-    /** Queues a waiting request at the owner of the slice that suits it best. */
+    /** Queues a waiting request at the connected owner of the slice that the routing policy selects. */
     void place(Request request) {
         request.retryAtMillis = Long.MAX_VALUE;
         List<SliceId> inService = inService(request);
@@ -42,39 +42,39 @@
             completion.end(request, outcome, FinishKind.UNUSED);
             return;
         }
-        List<SliceId> open = inService.stream()
+        List<SliceId> candidates = inService.stream()
                 .filter(slice -> !request.excludedSlices.contains(slice))
                 .filter(slice -> !request.slicesWithoutTarget.contains(slice))
                 .filter(slice ->
                         owners.connectedOwner(slice, request.refusingOwners).isPresent())
                 .toList();
-        if (open.isEmpty()) {
+        if (candidates.isEmpty()) {
             request.retryAtMillis = state.nowMillis + state.settings.placementRetryIntervalMillis();
             state.note(request, HomeNote.UNPLACED, HomeText.get("no-owner-can-be-reached"));
             state.scheduleTimer(request);
             return;
         }
-        enqueue(request, choose(request, open));
+        enqueue(request, choose(request, candidates));
     }
 
-    /** Starts another round for a request that found no owner. */
+    /** Places a request again, without regard to the slices and owners excluded so far. */
     void retry(Request request) {
         request.clearExclusions();
         place(request);
     }
 
-    /** Moves a request that waits long to a slice with room, or to one that serves its tier sooner, if there is one. */
+    /** Moves a request that waits long to a slice with available slots or, failing that, with a shorter wait. */
     void moveToBetterSlice(Request request) {
         request.reconsiderAtMillis = state.nowMillis + state.settings.reconsiderIntervalMillis();
         long waitedMillis = state.nowMillis - request.queuedAtMillis;
         state.sliceTracker.recordStall(request.slice, waitedMillis, state.nowMillis);
-        SliceId present = request.slice;
-        Optional<SliceId> other = alternativeWithSlots(request)
+        SliceId current = request.slice;
+        Optional<SliceId> alternative = alternativeWithSlots(request)
                 .or(() -> alternativeWithShorterWait(request, waitedMillis))
-                .filter(slice -> !slice.equals(present));
-        if (other.isPresent() && !state.sliceTracker.hasAvailableSlots(present, state.nowMillis)) {
+                .filter(slice -> !slice.equals(current));
+        if (alternative.isPresent() && !state.sliceTracker.hasAvailableSlots(current, state.nowMillis)) {
             completion.withdraw(request);
-            enqueue(request, other.get());
+            enqueue(request, alternative.get());
         }
     }
 
@@ -86,30 +86,30 @@
             return;
         }
         request.leaveQueue();
-        long grantEndsMillis = grant.getEchoMillis() + grant.getGoodMillis();
-        Optional<String> obstacle = grantError(request, grant, grantEndsMillis);
-        if (obstacle.isPresent()) {
-            state.note(request, HomeNote.GRANT_RETURNED, obstacle.get());
+        long grantExpiresAtMillis = grant.getEchoMillis() + grant.getGoodMillis();
+        Optional<String> error = grantError(request, grant, grantExpiresAtMillis);
+        if (error.isPresent()) {
+            state.note(request, HomeNote.GRANT_RETURNED, error.get());
             owners.returnUnused(owner, grant);
             requeue(request);
             return;
         }
-        dispatch(request, owner, grant, grantEndsMillis);
+        dispatch(request, owner, grant, grantExpiresAtMillis);
     }
 
-    /** Takes a request back that the gate kept from leaving. */
-    void notSent(Request request, String why) {
+    /** Returns the grant of a request that was not sent, and queues the request again. */
+    void notSent(Request request, String reason) {
         if (request.phase != RequestPhase.GRANTED || !request.gate.close()) {
             return;
         }
-        state.note(request, HomeNote.GRANT_RETURNED, why);
+        state.note(request, HomeNote.GRANT_RETURNED, reason);
         owners.returnUnused(request.grantOwner, request.grant);
         request.dropGrant();
         request.phase = RequestPhase.WAITING;
         requeue(request);
     }
 
-    /** Queues a request anew whose connection to the target never came about. */
+    /** Queues a request again after the connection to its target failed. */
     void connectFailed(Request request) {
         owners.finished(request, FinishKind.FAILED, state.nowMillis);
         request.dropGrant();
@@ -117,8 +117,8 @@
         if (state.retryBudget.tryAcquire(state.view.retryFloorPerSecond(), state.nowMillis)) {
             requeue(request);
         } else {
-            // Turning it away would shed a high tier while lower ones wait. It waits instead, so that many dead targets
-            // at once do not make a storm of messages.
+            // A rejection here could shed a high tier while lower tiers wait. The request is delayed instead, so that
+            // many targets that fail at once do not cause a storm of messages.
             request.retryAtMillis = state.nowMillis + state.settings.defaultRetryAfterMillis();
             state.scheduleTimer(request);
         }
@@ -149,7 +149,7 @@
             case OWNER_LEAVING -> placeElsewhere(request, request.refusingOwners, owner);
             case NO_TARGET -> placeElsewhere(request, request.slicesWithoutTarget, slice);
             case SHED -> retryOnceElsewhere(request, slice, ErrorKind.SHED, HomeText.get("no-room"), refusal);
-            // One owner's queue being too long says nothing of the others, which may keep lower tiers.
+            // The queue of one owner is too long; other owners may still serve lower tiers.
             case HOPELESS ->
                 retryOnceElsewhere(
                         request, slice, ErrorKind.HOPELESS, HomeText.get("the-deadline-cannot-be-met"), refusal);
@@ -198,10 +198,10 @@
         return inService && owner.filter(request.owner::equals).isPresent();
     }
 
-    // A process that was paused wakes with old beliefs: the deadline, the grant, the data centre and the target are
-    // all looked at again here, and time once more by the gate right before the request leaves.
-    private Optional<String> grantError(Request request, Grant grant, long grantEndsMillis) {
-        if (state.nowMillis >= grantEndsMillis) {
+    // A process that was paused resumes with stale state. The deadline, the grant, the data centre and the target are
+    // checked again here; the send gate checks the time once more immediately before the request is sent.
+    private Optional<String> grantError(Request request, Grant grant, long grantExpiresAtMillis) {
+        if (state.nowMillis >= grantExpiresAtMillis) {
             return Optional.of(HomeText.get("the-grant-had-run-out"));
         }
         if (state.nowMillis >= request.deadlineAtMillis) {
@@ -219,11 +219,11 @@
                 && grant.getSlice().equals(request.slice);
     }
 
-    private void dispatch(Request request, String owner, Grant grant, long grantEndsMillis) {
+    private void dispatch(Request request, String owner, Grant grant, long grantExpiresAtMillis) {
         request.phase = RequestPhase.GRANTED;
         request.grant = grant;
         request.grantOwner = owner;
-        request.gate = new SendGate(Math.min(grantEndsMillis, request.deadlineAtMillis));
+        request.gate = new SendGate(Math.min(grantExpiresAtMillis, request.deadlineAtMillis));
         String stream = state.requestId(request.sequence);
         request.location = new RequestLocation(grant.getTarget(), grant.getAddress(), grant.getPort(), stream);
         state.note(request, HomeNote.GRANTED, HomeText.get("granted", grant.getTarget(), owner));
@@ -238,58 +238,58 @@
         retry(request);
     }
 
-    private <T> void placeElsewhere(Request request, Set<T> avoided, T what) {
-        avoided.add(what);
+    private <T> void placeElsewhere(Request request, Set<T> exclusions, T excluded) {
+        exclusions.add(excluded);
         place(request);
     }
 
     private void retryOnceElsewhere(Request request, SliceId slice, ErrorKind kind, String detail, Refusal refusal) {
         request.excludedSlices.add(slice);
-        long leftMillis = request.deadlineAtMillis - state.nowMillis;
-        Optional<SliceId> other = request.retriedElsewhere
+        long remainingMillis = request.deadlineAtMillis - state.nowMillis;
+        Optional<SliceId> alternative = request.retriedElsewhere
                 ? Optional.empty()
-                : alternativeWithSlots(request).or(() -> alternativeWithShorterWait(request, leftMillis / 2));
-        boolean mayRetry =
-                other.isPresent() && state.retryBudget.tryAcquire(state.view.retryFloorPerSecond(), state.nowMillis);
+                : alternativeWithSlots(request).or(() -> alternativeWithShorterWait(request, remainingMillis / 2));
+        boolean mayRetry = alternative.isPresent()
+                && state.retryBudget.tryAcquire(state.view.retryFloorPerSecond(), state.nowMillis);
         if (mayRetry) {
             request.retriedElsewhere = true;
-            enqueue(request, other.get());
+            enqueue(request, alternative.get());
         } else {
             reject(request, kind, detail, refusal);
         }
     }
 
     private Optional<SliceId> alternativeWithSlots(Request request) {
-        List<SliceId> roomy = inService(request).stream()
+        List<SliceId> candidates = inService(request).stream()
                 .filter(slice -> !request.excludedSlices.contains(slice))
                 .filter(slice -> state.sliceTracker.hasAvailableSlots(slice, state.nowMillis))
                 .filter(slice ->
                         owners.connectedOwner(slice, request.refusingOwners).isPresent())
                 .toList();
-        return roomy.isEmpty() ? Optional.empty() : Optional.of(choose(request, roomy));
+        return candidates.isEmpty() ? Optional.empty() : Optional.of(choose(request, candidates));
     }
 
-    // Where all slices are full, one may hold back high tiers while another still serves low ones: the queues of two
-    // owners know nothing of each other. A request moves to an owner that expects to serve its tier clearly sooner than
-    // this one has let it wait; it must wait again before it moves again.
+    // When all slices are full, one owner may hold back high tiers while another still serves low ones, because owners
+    // do not know the queues of each other. A request moves to a slice whose estimated wait for its tier is shorter, by
+    // at least the reconsider interval, than the time it has waited; after a move it must wait that interval again.
     private Optional<SliceId> alternativeWithShorterWait(Request request, long waitedMillis) {
-        long boundMillis = waitedMillis - state.settings.reconsiderIntervalMillis();
+        long maxWaitMillis = waitedMillis - state.settings.reconsiderIntervalMillis();
         int rank = request.submission.tierRank();
-        List<SliceId> shorter = inService(request).stream()
+        List<SliceId> candidates = inService(request).stream()
                 .filter(slice -> !slice.equals(request.slice))
                 .filter(slice -> !request.excludedSlices.contains(slice))
-                .filter(slice -> state.sliceTracker.servesWithin(slice, rank, boundMillis, state.nowMillis))
+                .filter(slice -> state.sliceTracker.servesWithin(slice, rank, maxWaitMillis, state.nowMillis))
                 .filter(slice ->
                         owners.connectedOwner(slice, request.refusingOwners).isPresent())
                 .toList();
-        return shorter.isEmpty() ? Optional.empty() : Optional.of(choose(request, shorter));
+        return candidates.isEmpty() ? Optional.empty() : Optional.of(choose(request, candidates));
     }
 
     private void reject(Request request, ErrorKind kind, String detail, Refusal refusal) {
-        long comeBackMillis = refusal.getComeBackMillis() > 0
+        long retryAfterMillis = refusal.getComeBackMillis() > 0
                 ? refusal.getComeBackMillis()
                 : state.settings.defaultRetryAfterMillis();
-        completion.end(request, Outcome.failed(kind, detail, comeBackMillis, ""), FinishKind.UNUSED);
+        completion.end(request, Outcome.failed(kind, detail, retryAfterMillis, ""), FinishKind.UNUSED);
     }
 
     private void enqueue(Request request, SliceId slice) {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Request.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Request.java
@@ -8,7 +8,7 @@
 import org.whinwharf.wire.message.Grant;
 import org.whinwharf.wire.message.SliceId;
 
-/** State of one live request. */
+/** Mutable state of one request that has not ended. */
 final class Request {
     private static final long NEVER = Long.MIN_VALUE;
 
@@ -17,21 +17,21 @@
     final RoutingRequest routing;
     final long arrivedAtMillis;
     final long deadlineAtMillis;
-    /** Callers that get the answer, each with the first token that it still lacks. */
+    /** Callers that receive the answer, each with the index of its next token. */
     final Map<Long, Integer> callers = new LinkedHashMap<>();
 
     final StreamAssembler assembler = new StreamAssembler();
     RequestPhase phase = RequestPhase.WAITING;
 
-    /** Slices that are not to be asked in this round. */
+    /** Slices excluded until the next retry. */
     final Set<SliceId> excludedSlices = new HashSet<>();
-    /** Slices without a usable target, by their owners' word in this round. */
+    /** Slices whose owner reported no usable target, until the next retry. */
     final Set<SliceId> slicesWithoutTarget = new HashSet<>();
-    /** Hosts that do not own what they were asked for, in this round. */
+    /** Owners that refused the request because they are leaving, until the next retry. */
     final Set<String> refusingOwners = new HashSet<>();
-    /** Slice at which the request is queued; null while it is not. */
+    /** Slice at which the request is queued; null when it is not queued. */
     SliceId slice;
-    /** Host at which the request is queued; null while it is not. */
+    /** Host of the owner at which the request is queued; null when it is not queued. */
     String owner;
 
     boolean retriedElsewhere;
@@ -42,7 +42,7 @@
 
     Grant grant;
     String grantOwner;
-    /** Hosts that were told that this request is in flight, and count it until they are told that it ended. */
+    /** Owners that received this request as in flight and count it until they receive its end. */
     final Set<String> ownersCountingInFlight = new HashSet<>();
 
     SendGate gate;
--- a/org.whinwharf/src/main/java/org/whinwharf/home/RequestCompletion.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/RequestCompletion.java
@@ -7,7 +7,7 @@
 import org.whinwharf.wire.message.Frame;
 import org.whinwharf.wire.message.Withdraw;
 
-/** Ends requests: each of them once, with one outcome, told to every caller that still listens. */
+/** Ends each request once, with one outcome, and sends the outcome to all its remaining callers. */
 final class RequestCompletion {
     private final HomeState state;
     private final OwnerLinks owners;
@@ -18,12 +18,12 @@
     }
 
     /**
-     * Makes sure that a request that was not sent never will be.
+     * Prevents the dispatch of a request that was not sent yet.
      *
-     * <p>The sender may be past the gate although no word of it has come back yet. The request then counts as sent: to
-     * say "not run" here would be a lie that a caller notices as a booking made twice.
+     * <p>The sender may have passed the gate before the home receives the event that says so. The request then counts
+     * as sent: if its caller were told "not run", it would submit the request again, and a booking would be made twice.
      *
-     * @return true when it did not leave and never will
+     * @return true when the request was not sent and never will be
      */
     boolean preventDispatch(Request request) {
         if (request.phase == RequestPhase.WAITING) {
@@ -39,23 +39,23 @@
         return false;
     }
 
-    /** Ends a request early; what it is told depends on whether it left. */
-    void cancel(Request request, ErrorKind whileWaiting, ErrorKind whileRunning) {
+    /** Ends a request early, with a different error for a request that was already sent. */
+    void cancel(Request request, ErrorKind errorIfWaiting, ErrorKind errorIfRunning) {
         if (preventDispatch(request)) {
-            end(request, state.failure(whileWaiting, HomeText.get("the-request-waited")), FinishKind.UNUSED);
+            end(request, state.failure(errorIfWaiting, HomeText.get("the-request-waited")), FinishKind.UNUSED);
             return;
         }
         state.emit(new HomeAction.CancelAtTarget(request.sequence, request.location, request.submission.isEngine()));
-        fail(request, whileRunning, HomeText.get("the-target-was-at-work"), FinishKind.CANCELLED);
+        fail(request, errorIfRunning, HomeText.get("the-target-was-at-work"), FinishKind.CANCELLED);
     }
 
-    /** Ends a request that was sent. */
+    /** Ends a sent request with an error. */
     void fail(Request request, ErrorKind kind, String detail, FinishKind finish) {
         String target = request.location == null ? "" : request.location.target();
         end(request, Outcome.failed(kind, detail, state.settings.defaultRetryAfterMillis(), target), finish);
     }
 
-    /** Ends a request whose answer is whole. */
+    /** Ends a request whose answer is complete. */
     void complete(Request request, Answer answer) {
         state.emit(new HomeAction.CacheAnswer(request.sequence, answer));
         Outcome outcome = Outcome.completed(request.location.target(), request.assembler.nextIndex());
@@ -64,15 +64,15 @@
 
     /** Ends a request with any outcome. */
     void end(Request request, Outcome outcome, FinishKind finish) {
-        boolean left = request.wasSent();
-        if (outcome.ran() == Ran.NOT_RUN && left && finish != FinishKind.REFUSED_BY_TARGET) {
-            throw new IllegalStateException("not run was said of a request that left: " + outcome.detail());
+        boolean sent = request.wasSent();
+        if (outcome.ran() == Ran.NOT_RUN && sent && finish != FinishKind.REFUSED_BY_TARGET) {
+            throw new IllegalStateException("outcome \"not run\" for a request that was sent: " + outcome.detail());
         }
         withdraw(request);
         if (request.grant != null) {
             owners.finished(request, finish, state.nowMillis);
         }
-        if (left) {
+        if (sent) {
             state.emit(new HomeAction.ReleaseConnection(request.sequence));
         }
         request.phase = RequestPhase.ENDED;
@@ -87,7 +87,7 @@
         state.emit(new HomeAction.RecordMetrics(request.sequence, request.submission, outcome, times));
     }
 
-    /** Takes a request out of the queue it waits in. */
+    /** Withdraws a request from the queue of its slice owner. */
     void withdraw(Request request) {
         if (request.owner == null) {
             return;
--- a/org.whinwharf/src/main/java/org/whinwharf/home/RequestLocation.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/RequestLocation.java
@@ -1,10 +1,10 @@
 package org.whinwharf.home;
 
 /**
- * Where a request was sent.
+ * Target that a request was sent to, and its identifier there.
  *
  * @param target name of the target
- * @param address IP number of the target
+ * @param address IP address of the target
  * @param port TCP port of the target
  * @param stream identifier of the request at the target
  */
--- a/org.whinwharf/src/main/java/org/whinwharf/home/RequestPhase.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/RequestPhase.java
@@ -1,14 +1,14 @@
 package org.whinwharf.home;
 
-/** Phase of a request at its home. A request only moves on, but for a grant that is returned unused. */
+/** Phase of a request at its home. A request goes back to {@link #WAITING} only when nothing of it was sent. */
 public enum RequestPhase {
-    /** Not to be sent before an owner grants a slot. */
+    /** Waits until an owner grants a slot. */
     WAITING("waiting"),
-    /** Granted and handed to the sender; its gate says whether it left. */
+    /** Granted and handed to the sender; its send gate tells whether it was sent. */
     GRANTED("waiting"),
-    /** Given to the network. */
+    /** Handed to the network. */
     SENT("running"),
-    /** The target answers. */
+    /** The target sends its answer. */
     STREAMING("running"),
     /** Ended, with an outcome. */
     ENDED("ended");
--- a/org.whinwharf/src/main/java/org/whinwharf/home/RetryBudget.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/RetryBudget.java
@@ -1,8 +1,8 @@
 package org.whinwharf.home;
 
 /**
- * Allowance for retries, fed by fresh requests and by time. Without it each overload grows by its own retries, and the
- * fleet stays down after the cause is gone.
+ * Budget for retries, replenished by new requests and over time. Without a budget, retries amplify each overload and
+ * the fleet stays overloaded after the cause is gone.
  */
 final class RetryBudget {
     private static final double MAX_ALLOWANCE = 100;
@@ -19,8 +19,8 @@
         if (lastMillis == Long.MIN_VALUE) {
             allowance = Math.min(MAX_ALLOWANCE, allowance + floorPerSecond);
         } else {
-            double grown = (nowMillis - lastMillis) / MILLIS_PER_SECOND * floorPerSecond;
-            allowance = Math.min(MAX_ALLOWANCE, allowance + grown);
+            double replenished = (nowMillis - lastMillis) / MILLIS_PER_SECOND * floorPerSecond;
+            allowance = Math.min(MAX_ALLOWANCE, allowance + replenished);
         }
         lastMillis = nowMillis;
         if (allowance < 1) {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/SendGate.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/SendGate.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Last check before a request leaves this host, shared by the thread that decides and the one that sends.
+ * Final check before a request is sent, shared by the home's thread and the sending thread.
  *
- * <p>Without it a cancelled request could still leave: the decision to send was taken, the sender was slow or the
- * process was paused, and meanwhile the caller was told "not run". Whichever of {@link #trySend} and {@link #close}
- * comes first wins, and the other one learns it.
+ * <p>Without the gate a cancelled request could still be sent: the home had decided to dispatch it, the sender was slow
+ * or the process was paused, and meanwhile the caller was told "not run". The first call of {@link #trySend} and
+ * {@link #close} decides; the result of the other one reports that decision.
  */
 public final class SendGate {
     private enum State {
@@ -22,17 +22,17 @@
     /**
      * Creates an open gate.
      *
-     * @param goodUntilMillis instant from which nothing may be sent, by the home's clock
+     * @param validUntilMillis time from which the request may not be sent, by the home's monotonic clock
      */
-    public SendGate(long goodUntilMillis) {
-        this.validUntilMillis = goodUntilMillis;
+    public SendGate(long validUntilMillis) {
+        this.validUntilMillis = validUntilMillis;
     }
 
     /**
-     * Asks to send. The sender calls this right before it gives the request to the network.
+     * Claims the right to send. The sender calls this immediately before it hands the request to the network.
      *
-     * @param nowMillis now, read after all waiting
-     * @return true when the request may leave; true at most once
+     * @param nowMillis current time, read after all waiting
+     * @return true when the request may be sent; true at most once
      */
     public boolean trySend(long nowMillis) {
         if (nowMillis >= validUntilMillis) {
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Forbids sending.
+     * Prevents sending.
      *
-     * @return true when nothing was sent and nothing ever will be
+     * @return true when the request was not sent and never will be
      */
     public boolean close() {
         return state.compareAndSet(State.OPEN, State.CLOSED) || state.get() == State.CLOSED;
--- a/org.whinwharf/src/main/java/org/whinwharf/home/StreamAssembler.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/StreamAssembler.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.whinwharf.wire.schema.StreamToken;
 
-/** Puts the tokens of one answer in order, drops those that came before and notices gaps. */
+/** Orders the tokens of one answer, drops duplicates and detects gaps. */
 final class StreamAssembler {
     private static final int MAX_OUT_OF_ORDER_TOKENS = 256;
 
@@ -13,7 +13,7 @@
     private final TreeMap<Integer, StreamToken> outOfOrder = new TreeMap<>();
     private boolean complete;
 
-    /** Takes a token and returns those that are now next in order. */
+    /** Accepts a token and returns the tokens that it makes available in order. */
     List<StreamToken> accept(StreamToken token) {
         List<StreamToken> ready = new ArrayList<>();
         if (complete || token.getIndex() < nextIndex()) {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Submission.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Submission.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 import org.immutables.value.Value;
 
-/** Request as a caller submitted it, after its checks. */
+/** Validated request as a caller submitted it. */
 @Value.Immutable
 @Value.Style(build = "call", visibility = Value.Style.ImplementationVisibility.PACKAGE)
 public interface Submission {
     /**
-     * Starts the description of a request.
+     * Creates a builder.
      *
      * @return a builder
      */
@@ -18,21 +18,21 @@
     }
 
     /**
-     * Returns the ticket and number.
+     * Returns the ticket and number of the request.
      *
-     * @return both, or nothing for a request that is never repeated
+     * @return both; empty for a request without a ticket, which is never repeated
      */
     Optional<TicketNumber> ticketNumber();
 
     /**
-     * Returns the organisation by the caller's credential.
+     * Returns the organisation that the caller's credential belongs to.
      *
      * @return name
      */
     String organisation();
 
     /**
-     * Returns the organisation's share relative to others.
+     * Returns the organisation's share relative to other organisations.
      *
      * @return weight
      */
@@ -44,12 +44,12 @@
     /**
      * Returns the rank of the caller's tier.
      *
-     * @return rank, the highest is served first
+     * @return rank; the highest rank is served first
      */
     int tierRank();
 
     /**
-     * Returns the service.
+     * Returns the service that the request is for.
      *
      * @return name
      */
@@ -63,7 +63,7 @@
     boolean isEngine();
 
     /**
-     * Returns the model; engines only.
+     * Returns the model (engines only).
      *
      * @return name, empty for plain services
      */
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Returns the call; plain services only.
+     * Returns the name of the call (plain services only).
      *
      * @return name, empty for engines
      */
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Tells whether a second run would do no harm.
+     * Tells whether the request may safely run a second time.
      *
      * @return false for calls that may not be repeated
      */
@@ -101,7 +101,7 @@
     String text();
 
     /**
-     * Returns the bound on the answer's tokens; engines only.
+     * Returns the maximum number of tokens in the answer (engines only).
      *
      * @return tokens
      */
@@ -111,7 +111,7 @@
     }
 
     /**
-     * Returns the tokens of the prompt.
+     * Returns the number of tokens in the prompt.
      *
      * @return count
      */
@@ -135,14 +135,14 @@
     long leftMillis();
 
     /**
-     * Returns a digest of all that makes the request this one and no other.
+     * Returns a digest of the request's content, which tells a repeated submission from a reused ticket number.
      *
      * @return digest
      */
     long contentDigest();
 
     /**
-     * Returns the first token that the caller lacks.
+     * Returns the index of the first token that the caller has not received.
      *
      * @return index, from 0
      */
@@ -151,6 +151,6 @@
         return 0;
     }
 
-    /** Describes a request. */
+    /** Builds a submission. */
     class Builder extends ImmutableSubmission.Builder {}
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/home/TicketNumber.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/TicketNumber.java
@@ -3,7 +3,7 @@
 import org.whinwharf.ticket.Ticket;
 
 /**
- * Number that a caller gave its request under a ticket.
+ * Number that a caller assigns to a request under a ticket. The pair identifies the request when it is submitted again.
  *
  * @param ticket the ticket
  * @param number the number, from 0
--- a/org.whinwharf/src/main/java/org/whinwharf/home/TicketTable.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/TicketTable.java
@@ -7,7 +7,7 @@
 import org.whinwharf.ticket.NumberWindow;
 import org.whinwharf.ticket.Ticket;
 
-/** Numbers seen under each ticket that has not run out. */
+/** Request numbers seen under each unexpired ticket. */
 final class TicketTable {
     private static final int MAX_RANGES = 64;
     private static final int MAX_RECORDS = 256;
@@ -26,16 +26,16 @@
     }
 
     /**
-     * Finds or opens the window of a ticket; nothing when there is no room.
+     * Finds or opens the window of a ticket; empty when the table is full.
      *
-     * <p>A caller whose ticket found no room is told "not run". A copy of its request that was delayed on the way could
-     * find room later and run after all. So no ticket that runs out as early as one that was turned away gets a window
-     * any more; a new ticket does.
+     * <p>A caller whose ticket is rejected is told "not run". A copy of its request that was delayed in transit could
+     * find space later and run after all. Therefore a ticket that expires no later than a rejected one gets no window
+     * any more; a new ticket, which expires later, does.
      */
     Optional<NumberWindow<NumberRecord>> open(Ticket ticket) {
-        Optional<NumberWindow<NumberRecord>> known = find(ticket);
-        if (known.isPresent()) {
-            return known;
+        Optional<NumberWindow<NumberRecord>> existing = find(ticket);
+        if (existing.isPresent()) {
+            return existing;
         }
         if (windows.size() >= maxTickets || ticket.expiresAtMillis() <= rejectedUntilMillis) {
             rejectedUntilMillis = Math.max(rejectedUntilMillis, ticket.expiresAtMillis());
@@ -53,7 +53,7 @@
         }
     }
 
-    /** What is recorded for a number: the request it became and what was asked. */
+    /** Record of a number: the request that was submitted under it and the digest of its content. */
     record NumberRecord(long sequence, long contentDigest) {}
 
     private record Key(long idHigh, long idLow) {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Decisions of the home of requests.
+ * State machine of a home, the entry process that alone may dispatch a request.
  *
- * <p>{@link org.whinwharf.home.Home} turns an event and the time into actions. It holds no clock, socket or thread, so
- * that each failure can be written down as a list of events.
+ * <p>{@link org.whinwharf.home.Home} maps an event and the current time to actions. It holds no clock, socket or
+ * thread, so a test can reproduce any failure as a list of events.
  */
 package org.whinwharf.home;
--- a/org.whinwharf/src/main/java/org/whinwharf/routing/PrefixDigests.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/routing/PrefixDigests.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Digests of a prompt's prefixes and the count of its tokens, as the engines work them out. */
+/** Computes the digests of a prompt's prefixes and its number of tokens in the same way as the engines. */
 public final class PrefixDigests {
-    /** Tokens that one more digest stands for. */
+    /** Tokens that each digest covers in addition to the previous one. */
     public static final int TOKENS_PER_DIGEST = 64;
 
     private static final int BLOCK_CHARS = 256;
@@ -19,7 +19,7 @@
     private PrefixDigests() {}
 
     /**
-     * Digests the prefixes of a prompt.
+     * Computes the digests of a prompt's prefixes.
      *
      * @param prompt the prompt
      * @return digests of its first 256, 512, ... characters, shortest first, at most 16
--- a/org.whinwharf/src/main/java/org/whinwharf/routing/RoutingPolicy.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/routing/RoutingPolicy.java
@@ -10,40 +10,43 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.whinwharf.wire.message.SliceId;
 
-/** Ways to choose among slices. {@link #AFFINITY} is the one in use, the others stand beside it for comparison. */
+/** Policies that select a slice. The entry process uses {@link #AFFINITY}; the others serve for comparison. */
 public enum RoutingPolicy {
-    /** Any slice, with equal chance. */
+    /** Selects a slice at random, with equal probability. */
     RANDOM {
         @Override
         SliceId pick(Choice choice) {
             return choice.randomOf(choice.slices());
         }
     },
-    /** The slice with the least expected wait. */
+    /** Selects the slice with the shortest estimated wait. */
     LEAST_WAIT {
         @Override
         SliceId pick(Choice choice) {
             return choice.leastOf(choice.slices(), choice::waitMillis);
         }
     },
-    /** The roomier one of two random slices. */
+    /** Selects the one of two random slices that has more available slots. */
     TWO_CHOICES {
         @Override
         SliceId pick(Choice choice) {
             return choice.moreAvailableOfTwo(choice.slices());
         }
     },
-    /** Least of wait, distance and prefill that the slice's caches lack; near ties go to the roomier of two. */
+    /**
+     * Selects the slice with the lowest sum of estimated wait and distance, less the prefill time that a cached prefix
+     * saves. Among near ties it takes the one of two random slices that has more available slots.
+     */
     AFFINITY {
         @Override
         SliceId pick(Choice choice) {
             ToDoubleFunction<SliceId> score = choice.score();
             SliceId best = choice.leastOf(choice.slices(), score);
-            double bound = score.applyAsDouble(best) + TIE_THRESHOLD_MILLIS;
-            List<SliceId> near = choice.slices().stream()
-                    .filter(slice -> score.applyAsDouble(slice) <= bound)
+            double maxScore = score.applyAsDouble(best) + TIE_THRESHOLD_MILLIS;
+            List<SliceId> nearTies = choice.slices().stream()
+                    .filter(slice -> score.applyAsDouble(slice) <= maxScore)
                     .toList();
-            return choice.moreAvailableOfTwo(near);
+            return choice.moreAvailableOfTwo(nearTies);
         }
     };
 
@@ -52,28 +55,28 @@
     private static final HashFunction RENDEZVOUS = Hashing.murmur3_128();
 
     /**
-     * Chooses a slice.
+     * Selects a slice.
      *
-     * @param slices slices to choose from; not empty
+     * @param slices candidates; not empty
      * @param request the request
-     * @param tracker what is known of slices
-     * @param distance extra milliseconds to each data centre
+     * @param tracker status of the slices as this host knows it
+     * @param distance extra latency to each data centre, in milliseconds
      * @param random source of random numbers
-     * @param nowMillis now
+     * @param nowMillis current time of the monotonic clock, in milliseconds
      * @return one of the slices
      */
     public SliceId choose(
             List<SliceId> slices,
             RoutingRequest request,
-            SliceTracker board,
+            SliceTracker tracker,
             ToDoubleFunction<String> distance,
             UniformRandomProvider random,
             long nowMillis) {
-        List<SliceId> fertile = slices.stream()
-                .filter(slice -> !board.hasNoUsableTarget(slice, nowMillis))
+        List<SliceId> withTarget = slices.stream()
+                .filter(slice -> !tracker.hasNoUsableTarget(slice, nowMillis))
                 .toList();
-        List<SliceId> open = fertile.isEmpty() ? slices : fertile;
-        return pick(new Choice(open, request, board, distance, random, nowMillis));
+        List<SliceId> candidates = withTarget.isEmpty() ? slices : withTarget;
+        return pick(new Choice(candidates, request, tracker, distance, random, nowMillis));
     }
 
     abstract SliceId pick(Choice choice);
@@ -85,19 +88,19 @@
             ToDoubleFunction<String> distance,
             UniformRandomProvider random,
             long nowMillis) {
-        SliceId randomOf(List<SliceId> among) {
-            return among.get(random.nextInt(among.size()));
+        SliceId randomOf(List<SliceId> candidates) {
+            return candidates.get(random.nextInt(candidates.size()));
         }
 
-        SliceId leastOf(List<SliceId> among, ToDoubleFunction<SliceId> measure) {
-            return among.stream().min(Comparator.comparingDouble(measure)).orElseThrow();
+        SliceId leastOf(List<SliceId> candidates, ToDoubleFunction<SliceId> measure) {
+            return candidates.stream().min(Comparator.comparingDouble(measure)).orElseThrow();
         }
 
-        SliceId moreAvailableOfTwo(List<SliceId> among) {
-            if (among.size() == 1) {
-                return among.get(0);
+        SliceId moreAvailableOfTwo(List<SliceId> candidates) {
+            if (candidates.size() == 1) {
+                return candidates.get(0);
             }
-            List<SliceId> others = new ArrayList<>(among);
+            List<SliceId> others = new ArrayList<>(candidates);
             SliceId one = others.remove(random.nextInt(others.size()));
             SliceId other = randomOf(others);
             return tracker.availableSlots(one) >= tracker.availableSlots(other) ? one : other;
@@ -114,8 +117,9 @@
                     - (cached != null && cached.slice().equals(slice) ? cached.tokens() * PREFILL_MILLIS_PER_TOKEN : 0);
         }
 
-        // A prefix that this host never sent goes where every host sends it: to the slice that the hash of the
-        // shortest prefix ranks first. Otherwise each home would fill another engine's cache with the same prompt.
+        // A prefix that this host has not sent before is assigned by rendezvous hashing of the shortest prefix, so that
+        // all hosts send it to the same slice. Otherwise each home would fill a different engine's cache with the same
+        // prompt.
         private SliceTracker.SharedPrefix cachedPrefix() {
             return tracker.longestSharedPrefix(request)
                     .filter(shared -> slices.contains(shared.slice()))
--- a/org.whinwharf/src/main/java/org/whinwharf/routing/RoutingRequest.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/routing/RoutingRequest.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What routing looks at in a request.
+ * Properties of a request that determine its routing.
  *
  * @param tierRank rank of the caller's tier
  * @param prefixes digests of the prompt's prefixes, shortest first; empty for plain services
--- a/org.whinwharf/src/main/java/org/whinwharf/routing/SliceTracker.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/routing/SliceTracker.java
@@ -8,9 +8,12 @@
 import org.whinwharf.wire.message.SliceStatus;
 import org.whinwharf.wire.message.TierWait;
 
-/** What this host has heard of slices, with the age of each fact, and where it sent which prefixes. */
+/**
+ * Tracks the status of slices as their owners report it, the waits that this host observes, and the slice that each
+ * prompt prefix was last sent to.
+ */
 public final class SliceTracker {
-    /** Wait assumed of a slice of which nothing recent is known, in milliseconds. */
+    /** Estimated wait, in milliseconds, of a slice without a recent report. */
     public static final long UNKNOWN_WAIT_MILLIS = 100;
 
     private static final long MAX_AGE_MILLIS = 2_000;
@@ -29,10 +32,10 @@
     };
 
     /**
-     * Takes in what an owner says of its slice.
+     * Stores the status that an owner reports for its slice.
      *
-     * @param status the owner's word
-     * @param nowMillis when it arrived
+     * @param status the reported status
+     * @param nowMillis time at which it was received
      */
     public void updateStatus(SliceStatus status, long nowMillis) {
         reports.put(status.getSlice(), new Report(status, nowMillis));
@@ -40,27 +43,27 @@
     }
 
     /**
-     * Notes that this host queued a request at a slice, which takes from the room that its owner spoke of.
+     * Records that this host queued a request at a slice, which reduces the available slots of the last report.
      *
-     * @param slice where it was queued
+     * @param slice the slice
      */
     public void recordQueued(SliceId slice) {
         queuedSinceReport.merge(slice, 1, Integer::sum);
     }
 
     /**
-     * Notes that a request of this host got no grant at a slice so far.
+     * Records that a request of this host still waits for a grant at a slice.
      *
-     * @param slice where it waits
-     * @param waitedMillis how long it has waited
-     * @param nowMillis now
+     * @param slice the slice
+     * @param waitedMillis time that it has waited, in milliseconds
+     * @param nowMillis current time of the monotonic clock, in milliseconds
      */
     public void recordStall(SliceId slice, long waitedMillis, long nowMillis) {
         stalls.put(slice, new Stall(waitedMillis, nowMillis));
     }
 
     /**
-     * Notes that a slice granted a request of this host.
+     * Records that a slice granted a request of this host.
      *
      * @param slice the slice
      */
@@ -69,94 +72,95 @@
     }
 
     /**
-     * Notes that a prompt was sent to a slice.
+     * Records that a prompt was sent to a slice.
      *
      * @param request the request
-     * @param slice where it was sent
+     * @param slice the slice
      */
     public void recordDispatch(RoutingRequest request, SliceId slice) {
         request.prefixes().forEach(prefix -> sliceOfPrefix.put(prefix, slice));
     }
 
     /**
-     * Returns the wait to expect at a slice.
+     * Returns the estimated wait at a slice.
      *
      * @param slice the slice
      * @param tierRank rank of the caller's tier
-     * @param nowMillis now
-     * @return milliseconds; an old fact counts no better than an unknown slice
+     * @param nowMillis current time of the monotonic clock, in milliseconds
+     * @return milliseconds; at least {@link #UNKNOWN_WAIT_MILLIS} when the report is stale
      */
     public long estimatedWaitMillis(SliceId slice, int tierRank, long nowMillis) {
-        Report fact = reports.get(slice);
-        long seenMillis = observedStallMillis(slice, nowMillis);
-        if (fact == null) {
-            return Math.max(seenMillis, UNKNOWN_WAIT_MILLIS);
+        Report report = reports.get(slice);
+        long observedMillis = observedStallMillis(slice, nowMillis);
+        if (report == null) {
+            return Math.max(observedMillis, UNKNOWN_WAIT_MILLIS);
         }
-        long waitMillis = Math.max(seenMillis, fact.waitMillis(tierRank));
-        // An old word of a free slice is what sends a whole fleet to the same slice: everyone still believes it.
-        return isFresh(fact, nowMillis) ? waitMillis : Math.max(waitMillis, UNKNOWN_WAIT_MILLIS);
+        long waitMillis = Math.max(observedMillis, report.waitMillis(tierRank));
+        // A stale report of a free slice would direct the requests of all hosts to that slice.
+        return isFresh(report, nowMillis) ? waitMillis : Math.max(waitMillis, UNKNOWN_WAIT_MILLIS);
     }
 
     /**
-     * Tells whether a slice is surely expected to serve a tier within some time.
+     * Tells whether a slice is expected to serve a tier within a time.
      *
      * @param slice the slice
      * @param tierRank rank of the caller's tier
-     * @param boundMillis the time, in milliseconds
-     * @param nowMillis now
-     * @return true when a recent word of its owner says so and this host has not seen it stall
+     * @param maxWaitMillis the time, in milliseconds
+     * @param nowMillis current time of the monotonic clock, in milliseconds
+     * @return true when a recent report and the waits observed by this host say so
      */
-    public boolean servesWithin(SliceId slice, int tierRank, long boundMillis, long nowMillis) {
-        Report fact = reports.get(slice);
+    public boolean servesWithin(SliceId slice, int tierRank, long maxWaitMillis, long nowMillis) {
+        Report report = reports.get(slice);
         boolean known =
-                fact != null && isFresh(fact, nowMillis) && fact.status().getUsableTargets() > 0;
-        return known && estimatedWaitMillis(slice, tierRank, nowMillis) < boundMillis;
+                report != null && isFresh(report, nowMillis) && report.status().getUsableTargets() > 0;
+        return known && estimatedWaitMillis(slice, tierRank, nowMillis) < maxWaitMillis;
     }
 
     /**
-     * Tells whether a slice has room by a recent word of its owner.
+     * Tells whether a slice has available slots according to a recent report.
      *
      * @param slice the slice
-     * @param nowMillis now
-     * @return true when it has a free slot
+     * @param nowMillis current time of the monotonic clock, in milliseconds
+     * @return true when at least one slot is available
      */
     public boolean hasAvailableSlots(SliceId slice, long nowMillis) {
-        Report fact = reports.get(slice);
-        return fact != null && isFresh(fact, nowMillis) && availableSlots(slice) > 0;
+        Report report = reports.get(slice);
+        return report != null && isFresh(report, nowMillis) && availableSlots(slice) > 0;
     }
 
     /**
-     * Tells whether a recent word of its owner says that a slice has no target to use.
+     * Tells whether a recent report says that a slice has no usable target.
      *
      * @param slice the slice
-     * @param nowMillis now
-     * @return true when it has none
+     * @param nowMillis current time of the monotonic clock, in milliseconds
+     * @return true when it has none; false when there is no recent report
      */
     public boolean hasNoUsableTarget(SliceId slice, long nowMillis) {
-        Report fact = reports.get(slice);
-        return fact != null && isFresh(fact, nowMillis) && fact.status().getUsableTargets() == 0;
+        Report report = reports.get(slice);
+        return report != null && isFresh(report, nowMillis) && report.status().getUsableTargets() == 0;
     }
 
     /**
-     * Counts the free slots of a slice less those who wait for them and what this host queued there since.
+     * Returns the free slots of a slice, less the requests that wait for them and those that this host queued there
+     * since the last report.
      *
      * @param slice the slice
-     * @return the difference; 0 when nothing is known
+     * @return the difference, which may be negative; 0 without a report
      */
     public int availableSlots(SliceId slice) {
-        Report fact = reports.get(slice);
-        if (fact == null) {
+        Report report = reports.get(slice);
+        if (report == null) {
             return 0;
         }
-        int spoken = fact.status().getFreeSlots() - fact.status().getWaiting();
-        return spoken - queuedSinceReport.getOrDefault(slice, 0);
+        int reported = report.status().getFreeSlots() - report.status().getWaiting();
+        return reported - queuedSinceReport.getOrDefault(slice, 0);
     }
 
     /**
-     * Finds where a prompt that shares most with this one was sent last.
+     * Finds the slice that the longest known prefix of this prompt was last sent to.
      *
      * @param request the request
-     * @return the slice and how many tokens it should have cached
+     * @return the slice and the number of tokens that it has probably cached
      */
     public Optional<SharedPrefix> longestSharedPrefix(RoutingRequest request) {
         for (int i = request.prefixes().size() - 1; i >= 0; i--) {
@@ -168,23 +172,23 @@
         return Optional.empty();
     }
 
-    // What this host sees for itself counts more than a good word: all targets of a slice may be dead while its owner
-    // still expects them to answer.
+    // A wait that this host observes overrides a shorter reported one, because all targets of a slice may be dead while
+    // its owner still counts them as usable.
     private long observedStallMillis(SliceId slice, long nowMillis) {
         Stall stall = stalls.get(slice);
         boolean recent = stall != null && nowMillis - stall.atMillis() <= MAX_AGE_MILLIS;
         return recent ? stall.waitedMillis() : 0;
     }
 
-    private static boolean isFresh(Report fact, long nowMillis) {
-        return nowMillis - fact.atMillis() <= MAX_AGE_MILLIS;
+    private static boolean isFresh(Report report, long nowMillis) {
+        return nowMillis - report.atMillis() <= MAX_AGE_MILLIS;
     }
 
     /**
      * Prefix that a slice has probably cached.
      *
      * @param slice the slice
-     * @param tokens length of the prefix
+     * @param tokens length of the prefix in tokens
      */
     public record SharedPrefix(SliceId slice, int tokens) {}
 
--- a/org.whinwharf/src/main/java/org/whinwharf/routing/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Choice of the slice at which a home queues a request. */
+/** Selection of the slice at which a home queues a request. */
 package org.whinwharf.routing;
--- a/org.whinwharf/src/main/java/org/whinwharf/ticket/NumberWindow.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/ticket/NumberWindow.java
@@ -6,15 +6,15 @@
 import java.util.TreeMap;
 
 /**
- * Numbers seen under one ticket: a contiguous interval from zero, stragglers above it as ranges, and what was recorded
- * for the latest of them. A number once seen stays seen, also when its record was dropped to keep the bound.
+ * Request numbers seen under one ticket, stored as ranges, with a record for each of the latest numbers. A number once
+ * seen stays seen, even after its record was evicted to keep the limit.
  *
- * @param <V> type of what is recorded for a number
+ * @param <V> type of the records
  */
 public final class NumberWindow<V> {
     private final int maxRanges;
     private final int maxRecords;
-    // First number of each range of seen numbers, to the number after its last.
+    // Ranges of seen numbers, from the first number (inclusive) to the end (exclusive).
     private final TreeMap<Long, Long> ranges = new TreeMap<>();
     private final LinkedHashMap<Long, V> records = new LinkedHashMap<>();
     private boolean closed;
@@ -22,8 +22,8 @@
     /**
      * Creates an empty window.
      *
-     * @param maxRanges most separate ranges of seen numbers
-     * @param maxRecords most numbers for which something stays recorded
+     * @param maxRanges maximum number of separate ranges of seen numbers
+     * @param maxRecords maximum number of records
      */
     public NumberWindow(int maxRanges, int maxRecords) {
         this.maxRanges = maxRanges;
@@ -34,7 +34,7 @@
      * Tells whether a number was seen.
      *
      * @param number the number
-     * @return true when it was taken before
+     * @return true when {@link #take} accepted it before
      */
     public boolean isSeen(long number) {
         Map.Entry<Long, Long> range = ranges.floorEntry(number);
@@ -42,24 +42,24 @@
     }
 
     /**
-     * Returns what was recorded for a number.
+     * Returns the record of a number.
      *
      * @param number the number
-     * @return the record, or nothing when the number was not seen or its record was dropped
+     * @return the record; empty when the number was not seen or its record was evicted
      */
     public Optional<V> record(long number) {
         return Optional.ofNullable(records.get(number));
     }
 
     /**
-     * Takes a number that was not seen.
+     * Marks a number as seen if it is new.
      *
-     * <p>A number that would make one range too many closes the window for all fresh numbers. Its caller is told "not
-     * run"; a copy of the same request that was delayed on the way must not find the gap filled and run after all.
+     * <p>A number that would exceed the maximum number of ranges closes the window for all new numbers. Its caller is
+     * told "not run"; a copy of the same request that was delayed in transit must not find the gap filled and run.
      *
-     * @param number the number, from 0 to one below the largest long
-     * @param record what to record for it
-     * @return false when the number was seen or the window is closed
+     * @param number the number, from 0 to {@code Long.MAX_VALUE - 1}
+     * @param record the record of the number
+     * @return false when the number was seen, is out of range or the window is closed
      */
     public boolean take(long number, V record) {
         if (closed || number < 0 || number == Long.MAX_VALUE || isSeen(number)) {
@@ -76,9 +76,9 @@
     }
 
     /**
-     * Returns how many separate ranges of seen numbers are held.
+     * Returns the number of separate ranges of seen numbers.
      *
-     * @return count of ranges, the contiguous interval among them
+     * @return count of ranges, including the contiguous one from zero
      */
     public int rangeCount() {
         return ranges.size();
@@ -103,8 +103,8 @@
 
     private void evictOldestRecord() {
         if (records.size() > maxRecords) {
-            Long eldest = records.keySet().iterator().next();
-            records.remove(eldest);
+            Long oldest = records.keySet().iterator().next();
+            records.remove(oldest);
         }
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/ticket/Receipt.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/ticket/Receipt.java
@@ -7,13 +7,14 @@
 import org.whinwharf.wire.caller.ReceiptPayload;
 
 /**
- * Proof that a request was sent to a target; any entry host resumes the stream for it and none starts anything.
+ * Proof that a request was sent to a target. With it any entry host can resume the request's stream at that target; it
+ * never starts a request.
  *
  * @param target name of the target
- * @param address IP number of the target
+ * @param address IP address of the target
  * @param port TCP port of the target
  * @param stream identifier of the stream at the target
- * @param organisation organisation whose request it is
+ * @param organisation organisation that submitted the request
  */
 public record Receipt(String target, String address, int port, String stream, String organisation) {
     private static final String PURPOSE = "receipt";
@@ -21,8 +22,8 @@
     /**
      * Seals this receipt.
      *
-     * @param keys keys of the document in force
-     * @return text for the caller
+     * @param keys sealing keys of the active document
+     * @return sealed text for the caller
      */
     public String seal(SealingKeys keys) {
         ReceiptPayload payload = ReceiptPayload.newBuilder()
@@ -36,11 +37,11 @@
     }
 
     /**
-     * Opens a receipt that a caller shows.
+     * Verifies and parses a sealed receipt from a caller.
      *
      * @param text the sealed text
-     * @param keys keys of the document in force
-     * @return the receipt, or {@link ErrorKind#BAD_TICKET} when this system did not seal it
+     * @param keys sealing keys of the active document
+     * @return the receipt, or {@link ErrorKind#BAD_TICKET} when none of the keys sealed it
      */
     public static Result<Receipt> open(String text, SealingKeys keys) {
         Optional<Receipt> receipt = keys.open(PURPOSE, text).flatMap(bytes -> {
--- a/org.whinwharf/src/main/java/org/whinwharf/ticket/RequestId.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/ticket/RequestId.java
@@ -5,10 +5,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Identifier of a request, unique over all hosts and restarts. It also names the stream at the target.
+ * Identifier of a request, unique across all hosts and restarts. It also identifies the stream at the target.
  *
- * @param host host of the home
- * @param incarnation random number that the home drew at its start
+ * @param host name of the home's host
+ * @param incarnation random number that identifies the run of the home
  * @param sequence number of the request in that incarnation
  */
 public record RequestId(String host, long incarnation, long sequence) {
@@ -16,10 +16,10 @@
     private static final int HEXADECIMAL = 16;
 
     /**
-     * Reads the text form.
+     * Parses the text form.
      *
      * @param text {@code host.incarnation.sequence}, the numbers in hexadecimal
-     * @return the identifier, or nothing when the text has another form
+     * @return the identifier; empty when the text has another form
      */
     public static Optional<RequestId> parse(String text) {
         Matcher matcher = FORM.matcher(text);
--- a/org.whinwharf/src/main/java/org/whinwharf/ticket/SealingKeys.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/ticket/SealingKeys.java
@@ -13,7 +13,7 @@
 import org.whinwharf.wire.caller.Sealed;
 import org.whinwharf.wire.schema.SealingKey;
 
-/** Keys of a document that seal what is handed to callers. The first one seals, each of them opens. */
+/** Sealing keys of a document for tickets and receipts. The first key seals; every key opens. */
 public final class SealingKeys {
     private static final String ALGORITHM = "HmacSHA256";
     private static final int MAX_TEXT_CHARS = 2048;
@@ -24,7 +24,7 @@
      * Creates the keys.
      *
      * @param keys keys in the document's order
-     * @throws IllegalArgumentException when there is none
+     * @throws IllegalArgumentException when the list is empty
      */
     public SealingKeys(List<SealingKey> keys) {
         if (keys.isEmpty()) {
@@ -36,9 +36,9 @@
     /**
      * Seals a payload with the first key.
      *
-     * @param purpose what the payload is; a seal for one purpose does not open for another
+     * @param purpose kind of the payload; a text sealed for one purpose does not open for another
      * @param payload the payload
-     * @return text for the caller to keep, in the alphabet of URLs
+     * @return sealed text in URL-safe Base64 without padding
      */
     public String seal(String purpose, ByteString payload) {
         SealingKey key = keys.get(0);
@@ -51,14 +51,14 @@
     }
 
     /**
-     * Opens a sealed text.
+     * Verifies a sealed text and returns its payload.
      *
-     * @param purpose what the payload must be
-     * @param text what the caller showed
-     * @return the payload, or nothing when none of the keys sealed this text for this purpose
+     * @param purpose expected kind of the payload
+     * @param text sealed text from the caller
+     * @return the payload; empty when none of the keys sealed this text for this purpose
      */
     public Optional<ByteString> open(String purpose, String text) {
-        return parse(text).filter(shown -> isGenuine(purpose, shown)).map(Sealed::getPayload);
+        return parse(text).filter(wrapper -> isGenuine(purpose, wrapper)).map(Sealed::getPayload);
     }
 
     private static Optional<Sealed> parse(String text) {
@@ -73,12 +73,12 @@
     }
 
     private boolean isGenuine(String purpose, Sealed wrapper) {
-        byte[] shown = wrapper.getSeal().toByteArray();
+        byte[] seal = wrapper.getSeal().toByteArray();
         return keys.stream()
                 .filter(key -> key.getId() == wrapper.getKeyId())
-                // MessageDigest.isEqual takes the same time wherever the first wrong byte is. A comparison that
-                // stops early would let a caller guess a seal byte by byte from response times.
-                .anyMatch(key -> MessageDigest.isEqual(mac(key, purpose, wrapper.getPayload()), shown));
+                // MessageDigest.isEqual compares in constant time. A comparison that stops at the first wrong byte
+                // would let a caller guess a seal byte by byte from response times.
+                .anyMatch(key -> MessageDigest.isEqual(mac(key, purpose, wrapper.getPayload()), seal));
     }
 
     private static byte[] mac(SealingKey key, String purpose, ByteString payload) {
--- a/org.whinwharf/src/main/java/org/whinwharf/ticket/Ticket.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/ticket/Ticket.java
@@ -7,14 +7,15 @@
 import org.whinwharf.wire.caller.TicketPayload;
 
 /**
- * Permission to number requests at one home.
+ * Permission to submit numbered requests to one home, the only entry process that may dispatch them. The home runs each
+ * number at most once, so a caller can safely repeat a submission.
  *
  * @param home name of the host whose entry process is the home
- * @param incarnation random number that the home drew at its start
+ * @param incarnation random number that identifies the run of the home that issued the ticket
  * @param idHigh upper half of the ticket's random 128-bit identifier
  * @param idLow lower half of the identifier
- * @param organisation organisation that the ticket was handed to
- * @param expiresAtMillis instant at which the ticket runs out, by the home's monotonic clock
+ * @param organisation organisation that the ticket was issued to
+ * @param expiresAtMillis expiry time in milliseconds, by the home's monotonic clock
  */
 public record Ticket(
         String home, long incarnation, long idHigh, long idLow, String organisation, long expiresAtMillis) {
@@ -23,8 +24,8 @@
     /**
      * Seals this ticket.
      *
-     * @param keys keys of the document in force
-     * @return text for the caller
+     * @param keys sealing keys of the active document
+     * @return sealed text for the caller
      */
     public String seal(SealingKeys keys) {
         TicketPayload payload = TicketPayload.newBuilder()
@@ -39,11 +40,11 @@
     }
 
     /**
-     * Opens a ticket that a caller shows.
+     * Verifies and parses a sealed ticket from a caller.
      *
      * @param text the sealed text
-     * @param keys keys of the document in force
-     * @return the ticket, or {@link ErrorKind#BAD_TICKET} when this system did not seal it
+     * @param keys sealing keys of the active document
+     * @return the ticket, or {@link ErrorKind#BAD_TICKET} when none of the keys sealed it
      */
     public static Result<Ticket> open(String text, SealingKeys keys) {
         Optional<Ticket> ticket = keys.open(PURPOSE, text).flatMap(bytes -> {
--- a/org.whinwharf/src/main/java/org/whinwharf/ticket/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/ticket/package-info.java
@@ -1,2 +1,2 @@
-/** Sealed tickets and receipts, request identifiers and the window of request numbers seen under a ticket. */
+/** Sealed tickets and receipts, request identifiers and the request numbers seen under a ticket. */
 package org.whinwharf.ticket;
