--- a/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/PeerNetworkTest.java
+++ b/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/PeerNetworkTest.java
@@ -28,7 +28,7 @@
 class PeerNetworkTest {
     private static final String ADDRESS_A = "127.0.41.1";
     private static final String ADDRESS_B = "127.0.41.2";
-    private static final String STRANGER = "127.0.41.9";
+    private static final String UNLISTED_ADDRESS = "127.0.41.9";
     private static final PeerLimits LIMITS = PeerLimits.newBuilder()
             .setReconnectMillis(20)
             .setMaxReconnectMillis(100)
@@ -52,8 +52,8 @@
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, LIMITS);
         a.connect(new PeerAddress("host-b", Role.SCHEDULER, ADDRESS_B, b.port()));
-        PeerLink toB = atA.up();
-        PeerLink toA = atB.up();
+        PeerLink toB = atA.awaitLinkUp();
+        PeerLink toA = atB.awaitLinkUp();
         assertThat(toB.peer().getHost(), is("host-b"));
         assertThat(toA.peer().getHost(), is("host-a"));
 
@@ -63,33 +63,33 @@
         assertThat(toA.send(reply(200_000)), is(true));
 
         for (int i = 1; i <= 50; i++) {
-            assertThat(atB.frame(), equalTo(request(i)));
+            assertThat(atB.awaitFrame(), equalTo(request(i)));
         }
-        assertThat(atA.frame(), equalTo(reply(200_000)));
+        assertThat(atA.awaitFrame(), equalTo(reply(200_000)));
     }
 
     // A host is replaced while others hold a link to it. If they did not connect again by themselves, its successor at
     // the same address would get no work and a user would notice a host that idles.
     @Test
-    void connectsAgainWhenThePeerWasRestarted() {
+    void reconnectsAfterThePeerRestarts() {
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
         PeerNetwork first = start("host-b", ADDRESS_B, 0, atB, LIMITS);
         int port = first.port();
         a.connect(new PeerAddress("host-b", Role.SCHEDULER, ADDRESS_B, port));
-        atA.up();
+        atA.awaitLinkUp();
         first.stop();
-        atA.down();
-        atA.unreachablePeer();
+        atA.awaitLinkDown();
+        atA.awaitUnreachablePeer();
         start("host-b", ADDRESS_B, port, atB, LIMITS);
-        assertThat(atA.up().peer().getHost(), is("host-b"));
+        assertThat(atA.awaitLinkUp().peer().getHost(), is("host-b"));
     }
 
     // A program that is no part of the fleet connects to the port between processes. If it were heard, it could ask
     // for grants and overload a target.
     @Test
-    void addressOutsideTheListIsClosedWithoutAHello() throws IOException {
+    void unlistedAddressIsClosedWithoutAHello() throws IOException {
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, LIMITS);
-        try (Socket stranger = connect(STRANGER, b.port())) {
+        try (Socket stranger = connect(UNLISTED_ADDRESS, b.port())) {
             assertThat(stranger.getInputStream().read(), is(-1));
         }
         assertThat(b.counters().count(PeerEvent.UNLISTED), is(1L));
@@ -98,25 +98,25 @@
     // One broken peer sends rubbish while another works. If the rubbish harmed more than its own connection, one faulty
     // host would cut the whole fleet off.
     @Test
-    void rubbishClosesItsOwnConnectionOnly() throws IOException {
+    void malformedFrameClosesOnlyItsOwnConnection() throws IOException {
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, LIMITS);
         a.connect(new PeerAddress("host-b", Role.SCHEDULER, ADDRESS_B, b.port()));
-        PeerLink good = atA.up();
+        PeerLink good = atA.awaitLinkUp();
         try (Socket broken = connect(ADDRESS_A, b.port())) {
             broken.getOutputStream().write(new byte[] {5, -1, -1, -1, -1, -1});
             assertThat(broken.getInputStream().read(), is(-1));
         }
         assertThat(b.counters().count(PeerEvent.MALFORMED), is(1L));
         assertThat(good.send(request(7)), is(true));
-        assertThat(atB.frame(), equalTo(request(7)));
+        assertThat(atB.awaitFrame(), equalTo(request(7)));
     }
 
     // A peer says hello and then reads nothing more, as a process that is stopped. If frames for it were kept without
     // bound, the sender would run out of memory and every request that it holds would be lost.
     @Test
     @Timeout(30)
-    void sendIsRefusedOnceThePeerHasNotReadForLong() throws IOException {
+    void sendIsRefusedWhenThePeerStopsReading() throws IOException {
         // Heartbeats are sends too and are refused like others: the first, at once, is awaited, and no other comes.
         PeerLimits oneHeartbeat = LIMITS.toBuilder().setHeartbeatMillis(60_000).build();
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, oneHeartbeat);
@@ -125,7 +125,7 @@
                     .setProtocol(PeerNetwork.PROTOCOL_VERSION)
                     .build();
             Frame.newBuilder().setHello(hello).build().writeDelimitedTo(stuck.getOutputStream());
-            PeerLink link = atB.up();
+            PeerLink link = atB.awaitLinkUp();
             while (b.counters().count(PeerEvent.FRAMES_OUT) == 0) {
                 Thread.onSpinWait();
             }
@@ -144,19 +144,19 @@
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, LIMITS);
         a.connect(new PeerAddress("host-b", Role.SCHEDULER, ADDRESS_B, b.port()));
-        PeerLink link = atA.up();
+        PeerLink link = atA.awaitLinkUp();
         assertThat(link.send(reply(2 << 20)), is(false));
         assertThat(link.send(request(1)), is(true));
-        assertThat(atB.frame(), equalTo(request(1)));
+        assertThat(atB.awaitFrame(), equalTo(request(1)));
     }
 
     @Test
-    void connectionsAboveTheBoundAreClosed() throws IOException {
+    void connectionsAboveTheLimitAreClosed() throws IOException {
         PeerLimits one = LIMITS.toBuilder().setMaxConnections(1).build();
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, one);
         a.connect(new PeerAddress("host-b", Role.SCHEDULER, ADDRESS_B, b.port()));
-        atA.up();
+        atA.awaitLinkUp();
         try (Socket second = connect(ADDRESS_A, b.port())) {
             assertThat(second.getInputStream().read(), is(-1));
         }
@@ -166,48 +166,48 @@
     // After a host list mistake another process answers at the address. Frames meant for one owner must not reach
     // another.
     @Test
-    void anotherProcessThanTheOneCalledIsNoPeer() {
+    void processOfAnotherRoleIsRejectedAsWrongPeer() {
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, LIMITS);
         a.connect(new PeerAddress("host-b", Role.ENTRY, ADDRESS_B, b.port()));
-        assertThat(atB.up().peer().getHost(), is("host-a"));
-        assertThat(atB.down(), containsString("closed"));
+        assertThat(atB.awaitLinkUp().peer().getHost(), is("host-a"));
+        assertThat(atB.awaitLinkDown(), containsString("closed"));
         assertThat(a.counters().count(PeerEvent.WRONG_PEER), greaterThan(0L));
     }
 
     // A host is taken out of the published list while its process still runs. Its link must not outlive the listing, or
     // what it sends would count as long as it keeps the connection open.
     @Test
-    void linkOfAHostThatLeavesTheListIsClosed() {
+    void linkOfAnUnlistedHostIsClosedOnRecheck() {
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, LIMITS);
         a.connect(new PeerAddress("host-b", Role.SCHEDULER, ADDRESS_B, b.port()));
-        PeerLink toB = atA.up();
-        atB.up();
+        PeerLink toB = atA.awaitLinkUp();
+        atB.awaitLinkUp();
         b.recheck();
         assertThat(toB.send(request(1)), is(true));
-        assertThat(atB.frame(), equalTo(request(1)));
+        assertThat(atB.awaitFrame(), equalTo(request(1)));
         unlisted.add("host-a");
         b.recheck();
-        assertThat(atB.down(), containsString("no longer"));
+        assertThat(atB.awaitLinkDown(), containsString("no longer"));
     }
 
     // A home gives up a link right after it has reported finished requests on it. If the reports were dropped with the
     // link, their slots would stay taken until they run out and the target would idle.
     @Test
-    void whatIsQueuedIsSentBeforeALinkIsGivenUp() {
+    void queuedFramesAreSentBeforeDisconnect() {
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, LIMITS);
         PeerAddress address = new PeerAddress("host-b", Role.SCHEDULER, ADDRESS_B, b.port());
         a.connect(address);
-        PeerLink link = atA.up();
+        PeerLink link = atA.awaitLinkUp();
         int queued = 0;
         while (link.send(reply(300_000))) {
             queued++;
         }
         a.disconnect(address);
         for (int i = 0; i < queued; i++) {
-            assertThat(atB.frame(), equalTo(reply(300_000)));
+            assertThat(atB.awaitFrame(), equalTo(reply(300_000)));
         }
     }
 
@@ -218,12 +218,12 @@
         PeerAddress address = new PeerAddress("host-b", Role.SCHEDULER, ADDRESS_B, b.port());
         a.connect(address, "node");
         a.connect(address);
-        PeerLink link = atA.up();
+        PeerLink link = atA.awaitLinkUp();
         a.disconnect(address, "node");
         assertThat(link.send(request(3)), is(true));
-        assertThat(atB.frame(), equalTo(request(3)));
+        assertThat(atB.awaitFrame(), equalTo(request(3)));
         a.disconnect(address);
-        atB.down();
+        atB.awaitLinkDown();
     }
 
     private PeerNetwork start(String host, String address, int port, PeerListener listener, PeerLimits limits) {
--- a/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/RecordingListener.java
+++ b/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/RecordingListener.java
@@ -7,16 +7,16 @@
 
 /** Keeps what happened on links for a test to wait for. */
 public final class RecordingListener implements PeerListener {
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
-    private final BlockingQueue<PeerLink> ups = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> downs = new LinkedBlockingQueue<>();
+    private final BlockingQueue<PeerLink> linksUp = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> downReasons = new LinkedBlockingQueue<>();
     private final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
     private final BlockingQueue<PeerAddress> unreachable = new LinkedBlockingQueue<>();
 
     @Override
     public void linkUp(PeerLink link) {
-        ups.add(link);
+        linksUp.add(link);
     }
 
     @Override
@@ -28,7 +28,7 @@
 
     @Override
     public void linkDown(PeerLink link, String reason) {
-        downs.add(reason);
+        downReasons.add(reason);
     }
 
     @Override
@@ -36,29 +36,29 @@
         unreachable.add(peer);
     }
 
-    public PeerLink up() {
-        return take(ups);
+    public PeerLink awaitLinkUp() {
+        return take(linksUp);
     }
 
-    public String down() {
-        return take(downs);
+    public String awaitLinkDown() {
+        return take(downReasons);
     }
 
-    public Frame frame() {
+    public Frame awaitFrame() {
         return take(frames);
     }
 
-    public PeerAddress unreachablePeer() {
+    public PeerAddress awaitUnreachablePeer() {
         return take(unreachable);
     }
 
-    public int framesWaiting() {
+    public int pendingFrames() {
         return frames.size();
     }
 
     private static <T> T take(BlockingQueue<T> queue) {
         try {
-            T taken = queue.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            T taken = queue.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             if (taken == null) {
                 throw new AssertionError("nothing happened");
             }
--- a/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/internal/BackoffTest.java
+++ b/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/internal/BackoffTest.java
@@ -16,13 +16,13 @@
             @ForAll long seed, @ForAll @IntRange(min = 0, max = 100) int attempts) {
         Backoff backoff = new Backoff(200, 5_000, RandomSource.SPLIT_MIX_64.create(seed));
         for (int i = 0; i < attempts; i++) {
-            backoff.nextMillis();
+            backoff.nextDelayMillis();
         }
         long ceilingMillis = Math.min(5_000, 200L << Math.min(attempts, 10));
         assertThat(
-                backoff.nextMillis(),
+                backoff.nextDelayMillis(),
                 both(greaterThanOrEqualTo(ceilingMillis / 2)).and(lessThanOrEqualTo(ceilingMillis)));
         backoff.reset();
-        assertThat(backoff.nextMillis(), lessThanOrEqualTo(200L));
+        assertThat(backoff.nextDelayMillis(), lessThanOrEqualTo(200L));
     }
 }
--- a/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/internal/LinkPipelineTest.java
+++ b/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/internal/LinkPipelineTest.java
@@ -35,7 +35,7 @@
     private final EmbeddedChannel channel = channel();
 
     @Test
-    void acceptedPeerHearsHelloAndThenHeartbeats() {
+    void acceptedPeerReceivesHelloAndThenHeartbeats() {
         send(hello(PeerNetwork.PROTOCOL_VERSION, "listed"));
         assertThat(sent().hasHello(), is(true));
         channel.advanceTimeBy(200, TimeUnit.MILLISECONDS);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void frameInPiecesArrivesWhole() {
+    void frameReceivedInPiecesIsReassembled() {
         send(hello(PeerNetwork.PROTOCOL_VERSION, "listed"));
         Frame frame = request();
         ByteBuf bytes = FrameEncoder.encode(channel.alloc(), frame);
@@ -52,11 +52,11 @@
             channel.writeInbound(bytes.readRetainedSlice(1));
         }
         bytes.release();
-        assertThat(listener.frame(), equalTo(frame));
+        assertThat(listener.awaitFrame(), equalTo(frame));
     }
 
     @Test
-    void strangerHearsNothingAndIsClosed() {
+    void unlistedHostReceivesNothingAndIsClosed() {
         send(hello(PeerNetwork.PROTOCOL_VERSION, "unlisted"));
         assertClosed(PeerEvent.UNLISTED);
         assertThat(channel.readOutbound(), nullValue());
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void lengthWithoutEndIsClosed() {
+    void overlongLengthPrefixIsClosed() {
         channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {-1, -1, -1, -1, -1, -1}));
         assertClosed(PeerEvent.MALFORMED);
     }
@@ -105,25 +105,25 @@
     // A host loses its power: no end of stream comes, the connection just falls silent. If it stayed open, requests
     // would be queued at a dead owner until their deadlines.
     @Test
-    void silenceClosesTheLink() {
+    void idleTimeoutClosesTheLink() {
         send(hello(PeerNetwork.PROTOCOL_VERSION, "listed"));
-        pass(IDLE_MILLIS - 1);
+        advanceTime(IDLE_MILLIS - 1);
         assertThat(channel.isOpen(), is(true));
-        pass(1);
+        advanceTime(1);
         assertClosed(PeerEvent.IDLE);
     }
 
     // A stranger sends one byte now and then and never a frame, to hold a connection for ever.
     @Test
-    void dripOfBytesCountsAsSilence() {
+    void incompleteFrameDoesNotResetTheIdleTimeout() {
         for (int i = 0; i < 10 && channel.isOpen(); i++) {
             channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {i == 0 ? (byte) 100 : 0}));
-            pass(IDLE_MILLIS / 5);
+            advanceTime(IDLE_MILLIS / 5);
         }
         assertClosed(PeerEvent.IDLE);
     }
 
-    private void pass(long millis) {
+    private void advanceTime(long millis) {
         channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
     }
@@ -159,7 +159,7 @@
                 counters);
         EmbeddedChannel made = new EmbeddedChannel();
         made.freezeTime();
-        LinkInitializer.build(made.pipeline(), shared, null, () -> {});
+        LinkInitializer.addHandlers(made.pipeline(), shared, null, () -> {});
         return made;
     }
 
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerNetwork.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerNetwork.java
@@ -21,7 +21,7 @@
 import org.whinwharf.wire.message.Heartbeat;
 import org.whinwharf.wire.message.Hello;
 import org.whinwharf.wire.peer.internal.Backoff;
-import org.whinwharf.wire.peer.internal.ConnectionGate;
+import org.whinwharf.wire.peer.internal.ConnectionRegistry;
 import org.whinwharf.wire.peer.internal.Connector;
 import org.whinwharf.wire.peer.internal.LinkContext;
 import org.whinwharf.wire.peer.internal.LinkCounters;
@@ -39,21 +39,21 @@
     /** Version of the protocol that this process speaks. */
     public static final int PROTOCOL_VERSION = 1;
 
-    private static final String DAEMON = "daemon";
-    private static final int BACKLOG = 512;
+    private static final String DAEMON_HOLDER = "daemon";
+    private static final int ACCEPT_BACKLOG = 512;
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
-    private static final long STOP_MILLIS = 2_000;
-    private static final int LEAST_HIGH_WATER_BYTES = 1 << 20;
+    private static final long STOP_TIMEOUT_MILLIS = 2_000;
+    private static final int MIN_HIGH_WATER_MARK_BYTES = 1 << 20;
 
     private final String address;
     private final int port;
     private final LinkContext context;
     private final LinkLimits limits;
-    private final ConnectionGate gate;
+    private final ConnectionRegistry registry;
     private final EventLoopGroup group;
     private final Map<PeerAddress, Connector> connectors = new ConcurrentHashMap<>();
     private final AtomicBoolean stopped = new AtomicBoolean();
-    private volatile Channel listening;
+    private volatile Channel serverChannel;
 
     private PeerNetwork(Builder builder) {
         address = Objects.requireNonNull(builder.address, "address");
@@ -62,7 +62,7 @@
         Hello self = builder.self.toBuilder().setProtocol(PROTOCOL_VERSION).build();
         context =
                 new LinkContext(self, limits, builder.filter, builder.listener, builder.heartbeats, new LinkCounters());
-        gate = new ConnectionGate(limits.maxConnections(), context);
+        registry = new ConnectionRegistry(limits.maxConnections(), context);
         group = new MultiThreadIoEventLoopGroup(
                 builder.threads, new DefaultThreadFactory("peer-network", true), NioIoHandler.newFactory());
     }
@@ -85,16 +85,16 @@
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
-                .childHandler(LinkInitializer.accepting(context, gate));
+                .childHandler(LinkInitializer.inbound(context, registry));
         var bound = bootstrap.bind(address, port).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IllegalStateException("cannot listen on " + address + ":" + port, bound.cause());
         }
-        listening = bound.channel();
+        serverChannel = bound.channel();
     }
 
     /** Sends what is queued, closes all links and stops listening. A second call has no effect. */
@@ -104,11 +104,11 @@
         }
         connectors.values().forEach(Connector::stop);
         connectors.clear();
-        if (listening != null) {
-            listening.close().awaitUninterruptibly(STOP_MILLIS);
+        if (serverChannel != null) {
+            serverChannel.close().awaitUninterruptibly(STOP_TIMEOUT_MILLIS);
         }
-        gate.closeAll(STOP_MILLIS);
-        group.shutdownGracefully(0, STOP_MILLIS, TimeUnit.MILLISECONDS).awaitUninterruptibly(STOP_MILLIS);
+        registry.closeAll(STOP_TIMEOUT_MILLIS);
+        group.shutdownGracefully(0, STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).awaitUninterruptibly(STOP_TIMEOUT_MILLIS);
     }
 
     /**
@@ -122,7 +122,7 @@
         if (!stopped.get()) {
             connectors.compute(peer, (key, known) -> {
                 Connector connector = known == null ? newConnector(key) : known;
-                connector.hold(holder);
+                connector.acquire(holder);
                 return connector;
             });
         }
@@ -134,7 +134,7 @@
      * @param peer where the peer listens
      */
     public void connect(PeerAddress peer) {
-        connect(peer, DAEMON);
+        connect(peer, DAEMON_HOLDER);
     }
 
     /**
@@ -153,7 +153,7 @@
      * @param peer where the peer listens
      */
     public void disconnect(PeerAddress peer) {
-        disconnect(peer, DAEMON);
+        disconnect(peer, DAEMON_HOLDER);
     }
 
     /**
@@ -161,7 +161,7 @@
      * published list has changed.
      */
     public void recheck() {
-        gate.recheck();
+        registry.recheck();
     }
 
     /**
@@ -179,7 +179,7 @@
      * @return number of connections
      */
     public int connections() {
-        return gate.open();
+        return registry.openConnections();
     }
 
     /**
@@ -189,10 +189,10 @@
      * @throws IllegalStateException before the start
      */
     public int port() {
-        if (listening == null) {
+        if (serverChannel == null) {
             throw new IllegalStateException("not started");
         }
-        return ((InetSocketAddress) listening.localAddress()).getPort();
+        return ((InetSocketAddress) serverChannel.localAddress()).getPort();
     }
 
     private Connector newConnector(PeerAddress peer) {
@@ -203,12 +203,12 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
                 .localAddress(new InetSocketAddress(address, 0));
-        Backoff backoff = new Backoff(limits.reconnectMillis(), limits.maxReconnectMillis());
-        return new Connector(bootstrap, peer, backoff, context, gate);
+        Backoff backoff = new Backoff(limits.initialReconnectDelayMillis(), limits.maxReconnectDelayMillis());
+        return new Connector(bootstrap, peer, backoff, context, registry);
     }
 
     private WriteBufferWaterMark waterMark() {
-        int highBytes = Math.max(LEAST_HIGH_WATER_BYTES, limits.maxFrameBytes());
+        int highBytes = Math.max(MIN_HIGH_WATER_MARK_BYTES, limits.maxFrameBytes());
         return new WriteBufferWaterMark(highBytes / 2, highBytes);
     }
 
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Backoff.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Backoff.java
@@ -12,8 +12,8 @@
 public final class Backoff {
     private static final int MAX_DOUBLINGS = 30;
 
-    private final long firstMillis;
-    private final long maxMillis;
+    private final long initialDelayMillis;
+    private final long maxDelayMillis;
     private final UniformRandomProvider random;
     private int attempts;
 
@@ -35,8 +35,8 @@
      * @param random random numbers for the jitter
      */
     public Backoff(long firstMillis, long maxMillis, UniformRandomProvider random) {
-        this.firstMillis = firstMillis;
-        this.maxMillis = maxMillis;
+        this.initialDelayMillis = firstMillis;
+        this.maxDelayMillis = maxMillis;
         this.random = random;
     }
 
@@ -45,8 +45,8 @@
      *
      * @return milliseconds, at least 1
      */
-    public long nextMillis() {
-        long ceilingMillis = Math.min(maxMillis, firstMillis << Math.min(attempts, MAX_DOUBLINGS));
+    public long nextDelayMillis() {
+        long ceilingMillis = Math.min(maxDelayMillis, initialDelayMillis << Math.min(attempts, MAX_DOUBLINGS));
         attempts++;
         double share = 0.5 + random.nextDouble() / 2;
         return Math.max(1, Math.round(ceilingMillis * share));
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Closing.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/ChannelCloser.java
@@ -6,19 +6,19 @@
 import java.util.concurrent.TimeUnit;
 
 /** Closes connections without losing what is queued. */
-final class Closing {
-    private static final long FLUSH_MILLIS = 2_000;
+final class ChannelCloser {
+    private static final long FLUSH_TIMEOUT_MILLIS = 2_000;
 
-    private Closing() {}
+    private ChannelCloser() {}
 
     /**
      * Closes a connection once what is queued has been written, or after two seconds when the other side does not read.
      *
      * @param channel the connection
      */
-    static void afterFlush(Channel channel) {
+    static void closeAfterFlush(Channel channel) {
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
-        var bound = channel.eventLoop().schedule(() -> channel.close(), FLUSH_MILLIS, TimeUnit.MILLISECONDS);
+        var bound = channel.eventLoop().schedule(() -> channel.close(), FLUSH_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         channel.closeFuture().addListener(closed -> bound.cancel(false));
     }
 }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/ConnectionGate.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/ConnectionRegistry.java
@@ -7,9 +7,9 @@
 import org.whinwharf.wire.peer.PeerEvent;
 
 /** Open connections of one network, and which new ones are let in. */
-public final class ConnectionGate {
+public final class ConnectionRegistry {
     private final int maxConnections;
-    private final LinkContext shared;
+    private final LinkContext linkContext;
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 
     /**
@@ -18,9 +18,9 @@
      * @param maxConnections most open connections
      * @param shared what all links share
      */
-    public ConnectionGate(int maxConnections, LinkContext shared) {
+    public ConnectionRegistry(int maxConnections, LinkContext shared) {
         this.maxConnections = maxConnections;
-        this.shared = shared;
+        this.linkContext = shared;
     }
 
     /**
@@ -28,7 +28,7 @@
      *
      * @return number of connections
      */
-    public int open() {
+    public int openConnections() {
         return channels.size();
     }
 
@@ -39,7 +39,7 @@
      */
     public void closeAll(long timeoutMillis) {
         for (Channel channel : channels) {
-            Closing.afterFlush(channel);
+            ChannelCloser.closeAfterFlush(channel);
         }
         channels.newCloseFuture().awaitUninterruptibly(timeoutMillis);
         channels.close().awaitUninterruptibly(timeoutMillis);
@@ -55,13 +55,13 @@
         }
     }
 
-    boolean letIn(Channel channel) {
+    boolean admit(Channel channel) {
         if (channels.size() >= maxConnections) {
-            shared.counters().add(PeerEvent.TOO_MANY_CONNECTIONS);
+            linkContext.counters().add(PeerEvent.TOO_MANY_CONNECTIONS);
             return false;
         }
-        if (!shared.filter().admitsAddress(LinkHandler.addressOf(channel))) {
-            shared.counters().add(PeerEvent.UNLISTED);
+        if (!linkContext.filter().admitsAddress(LinkHandler.addressOf(channel))) {
+            linkContext.counters().add(PeerEvent.UNLISTED);
             return false;
         }
         return channels.add(channel);
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Connector.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Connector.java
@@ -15,7 +15,7 @@
     private final Bootstrap bootstrap;
     private final PeerAddress peer;
     private final Backoff backoff;
-    private final LinkContext shared;
+    private final LinkContext linkContext;
     private final Set<String> holders = new HashSet<>();
     private boolean stopped;
     private Channel channel;
@@ -30,11 +30,11 @@
      * @param shared what all links share
      * @param gate knows the open connections
      */
-    public Connector(Bootstrap bootstrap, PeerAddress peer, Backoff backoff, LinkContext shared, ConnectionGate gate) {
+    public Connector(Bootstrap bootstrap, PeerAddress peer, Backoff backoff, LinkContext shared, ConnectionRegistry gate) {
         this.peer = peer;
         this.backoff = backoff;
-        this.shared = shared;
-        this.bootstrap = bootstrap.handler(LinkInitializer.calling(shared, gate, peer, this::linkIsUp));
+        this.linkContext = shared;
+        this.bootstrap = bootstrap.handler(LinkInitializer.outbound(shared, gate, peer, this::resetBackoff));
     }
 
     /**
@@ -42,11 +42,11 @@
      *
      * @param holder who wants the link
      */
-    public synchronized void hold(String holder) {
+    public synchronized void acquire(String holder) {
         boolean first = holders.isEmpty();
         holders.add(holder);
         if (first) {
-            attempt();
+            connect();
         }
     }
 
@@ -71,22 +71,22 @@
             retry.cancel(false);
         }
         if (channel != null) {
-            Closing.afterFlush(channel);
+            ChannelCloser.closeAfterFlush(channel);
         }
     }
 
-    private synchronized void attempt() {
+    private synchronized void connect() {
         if (!stopped) {
             ChannelFuture connecting = bootstrap.connect(peer.address(), peer.port());
-            connecting.addListener(done -> connected(connecting));
+            connecting.addListener(done -> connectFinished(connecting));
         }
     }
 
-    private synchronized void connected(ChannelFuture connecting) {
+    private synchronized void connectFinished(ChannelFuture connecting) {
         if (!connecting.isSuccess()) {
-            shared.counters().add(PeerEvent.CONNECT_FAILED);
-            shared.listener().unreachable(peer);
-            attemptLater(connecting.channel());
+            linkContext.counters().add(PeerEvent.CONNECT_FAILED);
+            linkContext.listener().unreachable(peer);
+            scheduleReconnect(connecting.channel());
             return;
         }
         if (stopped) {
@@ -94,18 +94,18 @@
             connecting.channel().close();
             return;
         }
-        shared.counters().add(PeerEvent.CONNECTED);
+        linkContext.counters().add(PeerEvent.CONNECTED);
         channel = connecting.channel();
-        channel.closeFuture().addListener(closed -> attemptLater(connecting.channel()));
+        channel.closeFuture().addListener(closed -> scheduleReconnect(connecting.channel()));
     }
 
-    private synchronized void attemptLater(Channel ended) {
+    private synchronized void scheduleReconnect(Channel ended) {
         if (!stopped) {
-            retry = ended.eventLoop().schedule(this::attempt, backoff.nextMillis(), TimeUnit.MILLISECONDS);
+            retry = ended.eventLoop().schedule(this::connect, backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
         }
     }
 
-    private synchronized void linkIsUp() {
+    private synchronized void resetBackoff() {
         backoff.reset();
     }
 }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/FrameDecoder.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/FrameDecoder.java
@@ -20,7 +20,7 @@
 
     private final LinkCounters counters;
     private int maxFrameBytes = MAX_HELLO_BYTES;
-    private boolean broken;
+    private boolean failed;
 
     /**
      * Makes a decoder that accepts only a hello's size until told otherwise.
@@ -31,27 +31,27 @@
         this.counters = counters;
     }
 
-    void allow(int newMaxFrameBytes) {
+    void setMaxFrameBytes(int newMaxFrameBytes) {
         maxFrameBytes = newMaxFrameBytes;
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
-        if (broken) {
+        if (failed) {
             in.skipBytes(in.readableBytes());
             return;
         }
         try {
-            decodeOne(in, out);
+            decodeFrame(in, out);
         } catch (RuntimeException failure) {
-            broken = true;
+            failed = true;
             throw failure;
         }
     }
 
-    private void decodeOne(ByteBuf in, List<Object> out) {
+    private void decodeFrame(ByteBuf in, List<Object> out) {
         int start = in.readerIndex();
-        int sizeBytes = readPrefix(in);
+        int sizeBytes = readLengthPrefix(in);
         if (sizeBytes > maxFrameBytes) {
             throw new TooLongFrameException("frame of " + sizeBytes + " bytes, allowed " + maxFrameBytes);
         }
@@ -66,7 +66,7 @@
         out.add(frame);
     }
 
-    private static int readPrefix(ByteBuf in) {
+    private static int readLengthPrefix(ByteBuf in) {
         long value = 0;
         for (int i = 0; i < MAX_PREFIX_BYTES; i++) {
             if (!in.isReadable()) {
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Link.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Link.java
@@ -37,7 +37,7 @@
             return false;
         }
         // A peer that does not read must not fill our heap: neither by count nor by bytes may more wait for it.
-        if (!channel.isActive() || !channel.isWritable() || !reserve()) {
+        if (!channel.isActive() || !channel.isWritable() || !reserveQueueSlot()) {
             counters.add(PeerEvent.SEND_REFUSED);
             return false;
         }
@@ -51,7 +51,7 @@
     @Override
     public void close(String reason) {
         if (closeReason.compareAndSet(null, reason)) {
-            Closing.afterFlush(channel);
+            ChannelCloser.closeAfterFlush(channel);
         }
     }
 
@@ -64,7 +64,7 @@
         return reason == null ? otherwise : reason;
     }
 
-    private boolean reserve() {
+    private boolean reserveQueueSlot() {
         if (queuedFrames.incrementAndGet() <= limits.maxQueuedFrames()) {
             return true;
         }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkHandler.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkHandler.java
@@ -21,10 +21,10 @@
 public final class LinkHandler extends SimpleChannelInboundHandler<Frame> {
     private static final Logger LOG = LogManager.getLogger(LinkHandler.class);
 
-    private final LinkContext shared;
+    private final LinkContext linkContext;
     private final FrameDecoder decoder;
-    private final PeerAddress called;
-    private final Runnable onUp;
+    private final PeerAddress expectedPeer;
+    private final Runnable onLinkUp;
     private Link link;
     private ScheduledFuture<?> heartbeat;
     private String reason = "closed by the other side";
@@ -38,15 +38,15 @@
      * @param onUp is run once when the link comes up
      */
     public LinkHandler(LinkContext shared, FrameDecoder decoder, PeerAddress called, Runnable onUp) {
-        this.shared = shared;
+        this.linkContext = shared;
         this.decoder = decoder;
-        this.called = called;
-        this.onUp = onUp;
+        this.expectedPeer = called;
+        this.onLinkUp = onUp;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        if (called != null) {
+        if (expectedPeer != null) {
             sendHello(context);
         }
         context.fireChannelActive();
@@ -58,11 +58,11 @@
             return;
         }
         if (link == null) {
-            receiveFirst(context, frame);
+            receiveHello(context, frame);
         } else if (frame.getBodyCase() == Frame.BodyCase.BODY_NOT_SET || frame.hasHello()) {
             close(context, PeerEvent.UNKNOWN_FRAME, "frame of unknown kind");
         } else {
-            shared.listener().received(link, frame);
+            linkContext.listener().received(link, frame);
         }
     }
 
@@ -72,8 +72,8 @@
             heartbeat.cancel(false);
         }
         if (link != null) {
-            shared.counters().add(PeerEvent.LINK_DOWN);
-            shared.listener().linkDown(link, link.closeReason(reason));
+            linkContext.counters().add(PeerEvent.LINK_DOWN);
+            linkContext.listener().linkDown(link, link.closeReason(reason));
         }
         context.fireChannelInactive();
     }
@@ -90,7 +90,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable failure) {
-        close(context, kindOf(failure), String.valueOf(failure.getMessage()));
+        close(context, eventOf(failure), String.valueOf(failure.getMessage()));
     }
 
     /** Closes the connection when its peer is admitted no more; called by the connection's thread. */
@@ -98,13 +98,13 @@
         if (link == null || !link.channel().isActive()) {
             return;
         }
-        if (!shared.filter().admits(link.peer(), addressOf(link.channel()))) {
-            shared.counters().add(PeerEvent.UNLISTED);
+        if (!linkContext.filter().admits(link.peer(), addressOf(link.channel()))) {
+            linkContext.counters().add(PeerEvent.UNLISTED);
             link.close("no longer in the host list");
         }
     }
 
-    private void receiveFirst(ChannelHandlerContext context, Frame frame) {
+    private void receiveHello(ChannelHandlerContext context, Frame frame) {
         if (!frame.hasHello()) {
             close(context, PeerEvent.UNKNOWN_FRAME, "first frame is no hello");
             return;
@@ -112,39 +112,39 @@
         Hello hello = frame.getHello();
         if (hello.getProtocol() != PeerNetwork.PROTOCOL_VERSION) {
             close(context, PeerEvent.PROTOCOL_MISMATCH, "protocol " + hello.getProtocol());
-        } else if (!isCalled(hello)) {
+        } else if (!isExpectedPeer(hello)) {
             close(context, PeerEvent.WRONG_PEER, "answered by " + hello.getHost() + "/" + hello.getRole());
-        } else if (!shared.filter().admits(hello, addressOf(context.channel()))) {
+        } else if (!linkContext.filter().admits(hello, addressOf(context.channel()))) {
             close(context, PeerEvent.UNLISTED, "not in the host list");
         } else {
-            bringUp(context, hello);
+            establishLink(context, hello);
         }
     }
 
-    private boolean isCalled(Hello hello) {
-        return called == null || (hello.getHost().equals(called.host()) && hello.getRole() == called.role());
+    private boolean isExpectedPeer(Hello hello) {
+        return expectedPeer == null || (hello.getHost().equals(expectedPeer.host()) && hello.getRole() == expectedPeer.role());
     }
 
-    private void bringUp(ChannelHandlerContext context, Hello hello) {
-        if (called == null) {
+    private void establishLink(ChannelHandlerContext context, Hello hello) {
+        if (expectedPeer == null) {
             // Said only now: a caller that hears hello knows that it was accepted, and its backoff starts anew.
             sendHello(context);
         }
-        decoder.allow(shared.limits().maxFrameBytes());
-        link = new Link(context.channel(), hello, shared);
-        shared.counters().add(PeerEvent.LINK_UP);
-        onUp.run();
-        shared.listener().linkUp(link);
-        long periodMillis = shared.limits().heartbeatMillis();
-        heartbeat = context.executor().scheduleAtFixedRate(this::beat, 0, periodMillis, TimeUnit.MILLISECONDS);
+        decoder.setMaxFrameBytes(linkContext.limits().maxFrameBytes());
+        link = new Link(context.channel(), hello, linkContext);
+        linkContext.counters().add(PeerEvent.LINK_UP);
+        onLinkUp.run();
+        linkContext.listener().linkUp(link);
+        long periodMillis = linkContext.limits().heartbeatIntervalMillis();
+        heartbeat = context.executor().scheduleAtFixedRate(this::sendHeartbeat, 0, periodMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void beat() {
-        link.send(Frame.newBuilder().setHeartbeat(shared.heartbeats().get()).build());
+    private void sendHeartbeat() {
+        link.send(Frame.newBuilder().setHeartbeat(linkContext.heartbeats().get()).build());
     }
 
     private void sendHello(ChannelHandlerContext context) {
-        Frame frame = Frame.newBuilder().setHello(shared.self()).build();
+        Frame frame = Frame.newBuilder().setHello(linkContext.self()).build();
         context.writeAndFlush(FrameEncoder.encode(context.alloc(), frame));
     }
 
@@ -156,13 +156,13 @@
         if (!context.channel().isActive()) {
             return;
         }
-        shared.counters().add(kind);
+        linkContext.counters().add(kind);
         reason = kind.metricName() + ": " + detail;
         LOG.info("connection with {} closed, {}", context.channel().remoteAddress(), reason);
         context.close();
     }
 
-    private static PeerEvent kindOf(Throwable failure) {
+    private static PeerEvent eventOf(Throwable failure) {
         if (failure instanceof TooLongFrameException) {
             return PeerEvent.OVERSIZED;
         }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkInitializer.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkInitializer.java
@@ -11,18 +11,18 @@
 
 /** Builds the pipeline of each connection. */
 public final class LinkInitializer extends ChannelInitializer<Channel> {
-    private static final int FLUSHES_AT_ONCE = 64;
+    private static final int MAX_CONSOLIDATED_FLUSHES = 64;
 
-    private final LinkContext shared;
-    private final ConnectionGate gate;
-    private final PeerAddress called;
-    private final Runnable onUp;
+    private final LinkContext linkContext;
+    private final ConnectionRegistry registry;
+    private final PeerAddress expectedPeer;
+    private final Runnable onLinkUp;
 
-    private LinkInitializer(LinkContext shared, ConnectionGate gate, PeerAddress called, Runnable onUp) {
-        this.shared = shared;
-        this.gate = gate;
-        this.called = called;
-        this.onUp = onUp;
+    private LinkInitializer(LinkContext shared, ConnectionRegistry gate, PeerAddress called, Runnable onUp) {
+        this.linkContext = shared;
+        this.registry = gate;
+        this.expectedPeer = called;
+        this.onLinkUp = onUp;
     }
 
     /**
@@ -32,25 +32,25 @@
      * @param gate lets connections in
      * @return an initializer
      */
-    public static LinkInitializer accepting(LinkContext shared, ConnectionGate gate) {
+    public static LinkInitializer inbound(LinkContext shared, ConnectionRegistry gate) {
         return new LinkInitializer(shared, gate, null, () -> {});
     }
 
-    static LinkInitializer calling(LinkContext shared, ConnectionGate gate, PeerAddress called, Runnable onUp) {
+    static LinkInitializer outbound(LinkContext shared, ConnectionRegistry gate, PeerAddress called, Runnable onUp) {
         return new LinkInitializer(shared, gate, called, onUp);
     }
 
     @Override
     protected void initChannel(Channel channel) {
-        if (called != null) {
-            gate.add(channel);
-        } else if (gate.letIn(channel)) {
-            shared.counters().add(PeerEvent.ACCEPTED);
+        if (expectedPeer != null) {
+            registry.add(channel);
+        } else if (registry.admit(channel)) {
+            linkContext.counters().add(PeerEvent.ACCEPTED);
         } else {
             channel.close();
             return;
         }
-        build(channel.pipeline(), shared, called, onUp);
+        addHandlers(channel.pipeline(), linkContext, expectedPeer, onLinkUp);
     }
 
     /**
@@ -61,12 +61,12 @@
      * @param called the peer that this process called; null when the other side called
      * @param onUp is run once when the link comes up
      */
-    public static void build(ChannelPipeline pipeline, LinkContext shared, PeerAddress called, Runnable onUp) {
+    public static void addHandlers(ChannelPipeline pipeline, LinkContext shared, PeerAddress called, Runnable onUp) {
         FrameDecoder decoder = new FrameDecoder(shared.counters());
-        pipeline.addLast(new FlushConsolidationHandler(FLUSHES_AT_ONCE, true));
+        pipeline.addLast(new FlushConsolidationHandler(MAX_CONSOLIDATED_FLUSHES, true));
         pipeline.addLast(decoder);
         // After the decoder, so that only whole frames count as life: a drip of single bytes keeps no link open.
-        pipeline.addLast(new IdleStateHandler(shared.limits().idleMillis(), 0, 0, TimeUnit.MILLISECONDS));
+        pipeline.addLast(new IdleStateHandler(shared.limits().idleTimeoutMillis(), 0, 0, TimeUnit.MILLISECONDS));
         pipeline.addLast(new LinkHandler(shared, decoder, called, onUp));
     }
 }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkLimits.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkLimits.java
@@ -7,27 +7,27 @@
  *
  * @param maxFrameBytes largest frame, without its length prefix
  * @param maxQueuedFrames most frames that wait to be written to one link
- * @param heartbeatMillis time between two heartbeats
- * @param idleMillis longest silence of the other side
+ * @param heartbeatIntervalMillis time between two heartbeats
+ * @param idleTimeoutMillis longest silence of the other side
  * @param maxConnections most open connections
- * @param reconnectMillis first wait before another attempt to connect
- * @param maxReconnectMillis longest such wait
+ * @param initialReconnectDelayMillis first wait before another attempt to connect
+ * @param maxReconnectDelayMillis longest such wait
  */
 public record LinkLimits(
         int maxFrameBytes,
         int maxQueuedFrames,
-        long heartbeatMillis,
-        long idleMillis,
+        long heartbeatIntervalMillis,
+        long idleTimeoutMillis,
         int maxConnections,
-        long reconnectMillis,
-        long maxReconnectMillis) {
-    private static final int MAX_FRAME_BYTES = 4_194_304;
-    private static final int MAX_QUEUED_FRAMES = 4_096;
-    private static final long HEARTBEAT_MILLIS = 500;
-    private static final long IDLE_MILLIS = 2_500;
-    private static final int MAX_CONNECTIONS = 2_048;
-    private static final long RECONNECT_MILLIS = 200;
-    private static final long MAX_RECONNECT_MILLIS = 5_000;
+        long initialReconnectDelayMillis,
+        long maxReconnectDelayMillis) {
+    private static final int DEFAULT_MAX_FRAME_BYTES = 4_194_304;
+    private static final int DEFAULT_MAX_QUEUED_FRAMES = 4_096;
+    private static final long DEFAULT_HEARTBEAT_INTERVAL_MILLIS = 500;
+    private static final long DEFAULT_IDLE_TIMEOUT_MILLIS = 2_500;
+    private static final int DEFAULT_MAX_CONNECTIONS = 2_048;
+    private static final long DEFAULT_INITIAL_RECONNECT_DELAY_MILLIS = 200;
+    private static final long DEFAULT_MAX_RECONNECT_DELAY_MILLIS = 5_000;
 
     /**
      * Fills in the fallbacks of the schema.
@@ -37,13 +37,13 @@
      */
     public static LinkLimits of(PeerLimits limits) {
         return new LinkLimits(
-                (int) orElse(limits.getMaxFrameBytes(), MAX_FRAME_BYTES),
-                (int) orElse(limits.getMaxQueuedFrames(), MAX_QUEUED_FRAMES),
-                orElse(limits.getHeartbeatMillis(), HEARTBEAT_MILLIS),
-                orElse(limits.getIdleMillis(), IDLE_MILLIS),
-                (int) orElse(limits.getMaxConnections(), MAX_CONNECTIONS),
-                orElse(limits.getReconnectMillis(), RECONNECT_MILLIS),
-                orElse(limits.getMaxReconnectMillis(), MAX_RECONNECT_MILLIS));
+                (int) orElse(limits.getMaxFrameBytes(), DEFAULT_MAX_FRAME_BYTES),
+                (int) orElse(limits.getMaxQueuedFrames(), DEFAULT_MAX_QUEUED_FRAMES),
+                orElse(limits.getHeartbeatMillis(), DEFAULT_HEARTBEAT_INTERVAL_MILLIS),
+                orElse(limits.getIdleMillis(), DEFAULT_IDLE_TIMEOUT_MILLIS),
+                (int) orElse(limits.getMaxConnections(), DEFAULT_MAX_CONNECTIONS),
+                orElse(limits.getReconnectMillis(), DEFAULT_INITIAL_RECONNECT_DELAY_MILLIS),
+                orElse(limits.getMaxReconnectMillis(), DEFAULT_MAX_RECONNECT_DELAY_MILLIS));
     }
 
     private static long orElse(long value, long fallback) {
