--- a/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/PeerNetworkTest.java
+++ b/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/PeerNetworkTest.java
@@ -68,8 +68,8 @@
         assertThat(atA.awaitFrame(), equalTo(reply(200_000)));
     }
 
-    // A host is replaced while others hold a link to it. If they did not connect again by themselves, its successor at
-    // the same address would get no work and a user would notice a host that idles.
+    // A host is replaced while its peers hold links to it. If they did not reconnect automatically, the replacement at
+    // the same address would receive no requests and stay idle.
     @Test
     void reconnectsAfterThePeerRestarts() {
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
@@ -84,57 +84,58 @@
         assertThat(atA.awaitLinkUp().peer().getHost(), is("host-b"));
     }
 
-    // A program that is no part of the fleet connects to the port between processes. If it were heard, it could ask
-    // for grants and overload a target.
+    // A program outside the fleet connects to the peer port. If its frames were processed, it could request grants and
+    // overload a target.
     @Test
     void unlistedAddressIsClosedWithoutAHello() throws IOException {
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, LIMITS);
-        try (Socket stranger = connect(UNLISTED_ADDRESS, b.port())) {
-            assertThat(stranger.getInputStream().read(), is(-1));
+        try (Socket unlistedSocket = connect(UNLISTED_ADDRESS, b.port())) {
+            assertThat(unlistedSocket.getInputStream().read(), is(-1));
         }
         assertThat(b.counters().count(PeerEvent.UNLISTED), is(1L));
     }
 
-    // One broken peer sends rubbish while another works. If the rubbish harmed more than its own connection, one faulty
-    // host would cut the whole fleet off.
+    // One peer sends malformed frames. If they affected other connections too, one faulty host would disconnect the
+    // whole fleet.
     @Test
     void malformedFrameClosesOnlyItsOwnConnection() throws IOException {
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, LIMITS);
         a.connect(new PeerAddress("host-b", Role.SCHEDULER, ADDRESS_B, b.port()));
         PeerLink good = atA.awaitLinkUp();
-        try (Socket broken = connect(ADDRESS_A, b.port())) {
-            broken.getOutputStream().write(new byte[] {5, -1, -1, -1, -1, -1});
-            assertThat(broken.getInputStream().read(), is(-1));
+        try (Socket malformedSocket = connect(ADDRESS_A, b.port())) {
+            malformedSocket.getOutputStream().write(new byte[] {5, -1, -1, -1, -1, -1});
+            assertThat(malformedSocket.getInputStream().read(), is(-1));
         }
         assertThat(b.counters().count(PeerEvent.MALFORMED), is(1L));
         assertThat(good.send(request(7)), is(true));
         assertThat(atB.awaitFrame(), equalTo(request(7)));
     }
 
-    // A peer says hello and then reads nothing more, as a process that is stopped. If frames for it were kept without
-    // bound, the sender would run out of memory and every request that it holds would be lost.
+    // A peer sends hello and then stops reading, as a suspended process does. If its queue were unbounded, the sender
+    // would run out of memory and lose every request that it holds.
     @Test
     @Timeout(30)
     void sendIsRefusedWhenThePeerStopsReading() throws IOException {
-        // Heartbeats are sends too and are refused like others: the first, at once, is awaited, and no other comes.
+        // Refused heartbeats count as refused sends too. The test waits for the first, which is sent at once; the
+        // interval is too long for a second.
         PeerLimits oneHeartbeat = LIMITS.toBuilder().setHeartbeatMillis(60_000).build();
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, oneHeartbeat);
-        try (Socket stuck = connect(ADDRESS_A, b.port())) {
+        try (Socket nonReadingSocket = connect(ADDRESS_A, b.port())) {
             Hello hello = hello("host-a").toBuilder()
                     .setProtocol(PeerNetwork.PROTOCOL_VERSION)
                     .build();
-            Frame.newBuilder().setHello(hello).build().writeDelimitedTo(stuck.getOutputStream());
+            Frame.newBuilder().setHello(hello).build().writeDelimitedTo(nonReadingSocket.getOutputStream());
             PeerLink link = atB.awaitLinkUp();
             while (b.counters().count(PeerEvent.FRAMES_OUT) == 0) {
                 Thread.onSpinWait();
             }
-            int taken = 0;
-            while (taken < 10_000 && link.send(reply(100_000))) {
-                taken++;
+            int accepted = 0;
+            while (accepted < 10_000 && link.send(reply(100_000))) {
+                accepted++;
             }
-            assertThat(taken, greaterThan(0));
-            assertThat("socket buffers and the queue together", taken, lessThanOrEqualTo(1_000));
+            assertThat(accepted, greaterThan(0));
+            assertThat("frames accepted by the socket buffers and the queue", accepted, lessThanOrEqualTo(1_000));
             assertThat(b.counters().count(PeerEvent.SEND_REFUSED), is(1L));
         }
     }
@@ -152,9 +153,9 @@
 
     @Test
     void connectionsAboveTheLimitAreClosed() throws IOException {
-        PeerLimits one = LIMITS.toBuilder().setMaxConnections(1).build();
+        PeerLimits singleConnection = LIMITS.toBuilder().setMaxConnections(1).build();
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
-        PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, one);
+        PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, singleConnection);
         a.connect(new PeerAddress("host-b", Role.SCHEDULER, ADDRESS_B, b.port()));
         atA.awaitLinkUp();
         try (Socket second = connect(ADDRESS_A, b.port())) {
@@ -163,7 +164,7 @@
         assertThat(b.counters().count(PeerEvent.TOO_MANY_CONNECTIONS), is(1L));
     }
 
-    // After a host list mistake another process answers at the address. Frames meant for one owner must not reach
+    // After an error in the host list another process answers at the address. Frames for one process must not reach
     // another.
     @Test
     void processOfAnotherRoleIsRejectedAsWrongPeer() {
@@ -175,8 +176,8 @@
         assertThat(a.counters().count(PeerEvent.WRONG_PEER), greaterThan(0L));
     }
 
-    // A host is taken out of the published list while its process still runs. Its link must not outlive the listing, or
-    // what it sends would count as long as it keeps the connection open.
+    // A host is removed from the published list while its process still runs. Its link must be closed, or its frames
+    // would be processed for as long as it keeps the connection open.
     @Test
     void linkOfAnUnlistedHostIsClosedOnRecheck() {
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
@@ -192,8 +193,8 @@
         assertThat(atB.awaitLinkDown(), containsString("no longer"));
     }
 
-    // A home gives up a link right after it has reported finished requests on it. If the reports were dropped with the
-    // link, their slots would stay taken until they run out and the target would idle.
+    // A coordinator releases a link right after it has reported finished requests on it. If the reports were dropped,
+    // the slots of these requests would stay occupied until they expire, and the target would stay idle.
     @Test
     void queuedFramesAreSentBeforeDisconnect() {
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
@@ -248,9 +249,9 @@
         return new Socket(InetAddress.getByName(ADDRESS_B), port, InetAddress.getByName(from), 0);
     }
 
-    private static Frame request(long above) {
+    private static Frame request(long aboveGeneration) {
         return Frame.newBuilder()
-                .setDocumentRequest(DocumentRequest.newBuilder().setAboveGeneration(above))
+                .setDocumentRequest(DocumentRequest.newBuilder().setAboveGeneration(aboveGeneration))
                 .build();
     }
 
--- a/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/RecordingListener.java
+++ b/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/RecordingListener.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.whinwharf.wire.message.Frame;
 
-/** Keeps what happened on links for a test to wait for. */
+/** Records link events, so that a test can wait for them. */
 public final class RecordingListener implements PeerListener {
     private static final long TIMEOUT_SECONDS = 20;
 
@@ -60,7 +60,7 @@
         try {
             T taken = queue.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             if (taken == null) {
-                throw new AssertionError("nothing happened");
+                throw new AssertionError("no event within " + TIMEOUT_SECONDS + " seconds");
             }
             return taken;
         } catch (InterruptedException e) {
--- a/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/internal/LinkPipelineTest.java
+++ b/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/internal/LinkPipelineTest.java
@@ -81,8 +81,8 @@
         assertClosed(PeerEvent.UNKNOWN_FRAME);
     }
 
-    // A stranger announces a frame of a gigabyte. If its bytes were awaited, memory would fill before it is known who
-    // speaks.
+    // An unidentified sender announces a frame of a gigabyte. If the decoder buffered it, memory would fill up before
+    // the sender is identified.
     @Test
     void hugeFirstFrameIsClosedByItsLengthAlone() {
         channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {-128, -128, -128, -128, 4}));
@@ -102,8 +102,8 @@
         assertClosed(PeerEvent.MALFORMED);
     }
 
-    // A host loses its power: no end of stream comes, the connection just falls silent. If it stayed open, requests
-    // would be queued at a dead owner until their deadlines.
+    // A host loses power, so that its connection ends without an end of stream. If the link stayed open, requests would
+    // be queued at the dead host until their deadlines.
     @Test
     void idleTimeoutClosesTheLink() {
         send(hello(PeerNetwork.PROTOCOL_VERSION, "listed"));
@@ -113,7 +113,7 @@
         assertClosed(PeerEvent.IDLE);
     }
 
-    // A stranger sends one byte now and then and never a frame, to hold a connection for ever.
+    // An unidentified sender sends single bytes and never a complete frame, to keep a connection open for ever.
     @Test
     void incompleteFrameDoesNotResetTheIdleTimeout() {
         for (int i = 0; i < 10 && channel.isOpen(); i++) {
@@ -150,17 +150,17 @@
                 .setRole(Role.ENTRY)
                 .setProtocol(PeerNetwork.PROTOCOL_VERSION)
                 .build();
-        LinkContext shared = new LinkContext(
+        LinkContext linkContext = new LinkContext(
                 self,
                 LinkLimits.of(LIMITS),
                 new ListedOnly(),
                 listener,
                 () -> Heartbeat.newBuilder().setGeneration(42).build(),
                 counters);
-        EmbeddedChannel made = new EmbeddedChannel();
-        made.freezeTime();
-        LinkInitializer.addHandlers(made.pipeline(), shared, null, () -> {});
-        return made;
+        EmbeddedChannel embedded = new EmbeddedChannel();
+        embedded.freezeTime();
+        LinkInitializer.addHandlers(embedded.pipeline(), linkContext, null, () -> {});
+        return embedded;
     }
 
     private static Frame hello(int protocol, String host) {
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/netty/package-info.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/netty/package-info.java
@@ -1,2 +1,2 @@
-/** How processes use Netty. */
+/** Netty configuration common to all processes. */
 package org.whinwharf.wire.netty;
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/package-info.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between processes, what the platform publishes, and the schema of settings and documents. */
+/** Messages between processes, data that the platform publishes, and the schema of settings and documents. */
 package org.whinwharf.wire;
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerCounters.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerCounters.java
@@ -1,13 +1,13 @@
 package org.whinwharf.wire.peer;
 
-/** Readings of what a peer network has counted since its start. Safe for use by several threads. */
+/** Event counters of a peer network since its start. Thread-safe. */
 @FunctionalInterface
 public interface PeerCounters {
     /**
-     * Reads a counter.
+     * Returns the value of a counter.
      *
-     * @param event what was counted
-     * @return count since the start
+     * @param event the counted event
+     * @return value since the start of the network
      */
     long count(PeerEvent event);
 }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerEvent.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerEvent.java
@@ -2,39 +2,39 @@
 
 import java.util.Locale;
 
-/** What a peer network counts. */
+/** Events that a peer network counts. */
 public enum PeerEvent {
     /** A connection was accepted. */
     ACCEPTED,
-    /** A connection of our own was made. */
+    /** An outbound connection was established. */
     CONNECTED,
-    /** A connection of our own could not be made. */
+    /** An outbound connection could not be established. */
     CONNECT_FAILED,
-    /** A link came up: both sides have said hello. */
+    /** A link came up: both sides have completed the hello handshake. */
     LINK_UP,
     /** A link went down. */
     LINK_DOWN,
     /** A connection was closed because its address or hello does not match the published host list. */
     UNLISTED,
-    /** A connection was closed because another process answered than the one that was called. */
+    /** A connection was closed because the process that answered is not the expected peer. */
     WRONG_PEER,
-    /** A connection was closed because the other side speaks another protocol version. */
+    /** A connection was closed because the remote process uses another protocol version. */
     PROTOCOL_MISMATCH,
-    /** A connection was closed because there were too many. */
+    /** A connection was closed because the connection limit was reached. */
     TOO_MANY_CONNECTIONS,
-    /** A connection was closed because of a frame that could not be parsed. */
+    /** A connection was closed because a frame could not be parsed. */
     MALFORMED,
-    /** A connection was closed because of a frame above the size limit. */
+    /** A connection was closed because a frame exceeded the size limit. */
     OVERSIZED,
-    /** A connection was closed because of a frame of an unknown kind or out of order. */
+    /** A connection was closed because a frame was of an unknown kind or out of order. */
     UNKNOWN_FRAME,
-    /** A connection was closed because nothing was heard in time. */
+    /** A connection was closed because no complete frame arrived within the idle timeout. */
     IDLE,
-    /** A connection was closed because of a failure of the socket or of the listener. */
+    /** A connection was closed because the socket or the listener failed. */
     LINK_FAILED,
-    /** A frame was not queued because the link was down or its queue full. */
+    /** A frame was not queued because the link was down or its queue was full. */
     SEND_REFUSED,
-    /** A frame was not queued because it is above the size limit. */
+    /** A frame was not queued because it exceeds the size limit. */
     SEND_OVERSIZED,
     /** A frame was received. */
     FRAMES_IN,
@@ -46,7 +46,7 @@
     BYTES_OUT;
 
     /**
-     * Returns the name that metrics use.
+     * Returns the name of the event in metrics.
      *
      * @return name in lower case, such as {@code frames_in}
      */
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerFilter.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerFilter.java
@@ -2,14 +2,12 @@
 
 import org.whinwharf.wire.message.Hello;
 
-/**
- * Decides which processes may be peers, by the published host list. Called by network threads, so it must not block.
- */
+/** Decides from the published host list which processes may be peers. Network threads call it, so it must not block. */
 public interface PeerFilter {
     /**
-     * Decides whether a connection from an address is worth a hello.
+     * Decides whether a connection from an address may proceed to the hello handshake.
      *
-     * @param address IP number of the other side
+     * @param address IP address of the remote process
      * @return false to close the connection at once
      */
     boolean admitsAddress(String address);
@@ -17,8 +15,8 @@
     /**
      * Decides whether a process may be a peer.
      *
-     * @param hello what the other side says of itself
-     * @param address IP number from which it says so
+     * @param hello hello that the remote process sent
+     * @param address IP address from which the hello was sent
      * @return false to close the connection
      */
     boolean admits(Hello hello, String address);
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerLink.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerLink.java
@@ -3,12 +3,12 @@
 import org.whinwharf.wire.message.Frame;
 import org.whinwharf.wire.message.Hello;
 
-/** Connection to one process, after both sides have said hello. Safe for use by several threads. */
+/** Connection to one process after the hello handshake. Thread-safe. */
 public interface PeerLink {
     /**
-     * Returns what the other side said of itself.
+     * Returns the hello that the remote process sent.
      *
-     * @return the other side's hello
+     * @return hello of the remote process
      */
     Hello peer();
 
@@ -16,14 +16,15 @@
      * Queues a frame.
      *
      * @param frame the frame
-     * @return false when the link is down or its queue is full; the frame is then not sent
+     * @return false if the link is down, its queue is full or the frame exceeds the size limit; the frame is then not
+     *     sent
      */
     boolean send(Frame frame);
 
     /**
      * Closes the link.
      *
-     * @param reason why, for the log
+     * @param reason reason for the log
      */
     void close(String reason);
 }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerListener.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerListener.java
@@ -2,33 +2,35 @@
 
 import org.whinwharf.wire.message.Frame;
 
-/** Receives what happens on links. Called by network threads, so it only hands over to a ring. */
+/**
+ * Receives events of links. Network threads call it, so an implementation only passes the event on to a ring buffer.
+ */
 public interface PeerListener {
     /**
-     * Reports a link on which both sides have said hello.
+     * Reports a link whose hello handshake is complete.
      *
      * @param link the link
      */
     void linkUp(PeerLink link);
 
     /**
-     * Reports a frame other than hello.
+     * Reports a received frame other than hello.
      *
-     * @param link where it came from
+     * @param link link on which the frame arrived
      * @param frame the frame
      */
     void received(PeerLink link, Frame frame);
 
     /**
-     * Reports that a link is gone for good; a later connection is another link.
+     * Reports that a link is permanently closed; a later connection to the same peer is a new link.
      *
      * @param link the link
-     * @param reason why, for the log
+     * @param reason reason for the log
      */
     void linkDown(PeerLink link, String reason);
 
     /**
-     * Reports that an attempt to connect to a wanted peer failed; another one follows by itself.
+     * Reports that an attempt to connect to a peer failed. The network retries automatically.
      *
      * @param peer the peer
      */
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerNetwork.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/PeerNetwork.java
@@ -30,13 +30,14 @@
 import org.whinwharf.wire.schema.PeerLimits;
 
 /**
- * Links of one process to its peers: it listens, and it connects to those it is told of until it is told otherwise.
+ * Links of one process to its peers. The network accepts connections, and keeps a connection to each peer that was
+ * passed to {@code connect} until {@code disconnect}.
  *
- * <p>Two processes that connect to each other have two links. A process sends what it starts on the link that it made,
- * and answers on the link where it was asked. Safe for use by several threads.
+ * <p>Two processes that connect to each other have two links. A process sends its requests on the link that it opened,
+ * and replies on the link on which the request arrived. Thread-safe.
  */
 public final class PeerNetwork {
-    /** Version of the protocol that this process speaks. */
+    /** Version of the protocol that this process uses. */
     public static final int PROTOCOL_VERSION = 1;
 
     private static final String DAEMON_HOLDER = "daemon";
@@ -68,7 +69,7 @@
     }
 
     /**
-     * Starts the description of a network.
+     * Returns a builder of a peer network.
      *
      * @return a builder
      */
@@ -77,9 +78,9 @@
     }
 
     /**
-     * Listens.
+     * Binds the server socket and starts to accept connections.
      *
-     * @throws IllegalStateException when the address or port cannot be used
+     * @throws IllegalStateException if the address or port cannot be bound
      */
     public void start() {
         ServerBootstrap bootstrap = new ServerBootstrap()
@@ -90,14 +91,14 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
                 .childHandler(LinkInitializer.inbound(context, registry));
-        var bound = bootstrap.bind(address, port).awaitUninterruptibly();
-        if (!bound.isSuccess()) {
-            throw new IllegalStateException("cannot listen on " + address + ":" + port, bound.cause());
+        var bindFuture = bootstrap.bind(address, port).awaitUninterruptibly();
+        if (!bindFuture.isSuccess()) {
+            throw new IllegalStateException("cannot listen on " + address + ":" + port, bindFuture.cause());
         }
-        serverChannel = bound.channel();
+        serverChannel = bindFuture.channel();
     }
 
-    /** Sends what is queued, closes all links and stops listening. A second call has no effect. */
+    /** Stops accepting connections, writes the queued frames and closes all links. A second call has no effect. */
     public void stop() {
         if (!stopped.compareAndSet(false, true)) {
             return;
@@ -108,15 +109,16 @@
             serverChannel.close().awaitUninterruptibly(STOP_TIMEOUT_MILLIS);
         }
         registry.closeAll(STOP_TIMEOUT_MILLIS);
-        group.shutdownGracefully(0, STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS).awaitUninterruptibly(STOP_TIMEOUT_MILLIS);
+        group.shutdownGracefully(0, STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .awaitUninterruptibly(STOP_TIMEOUT_MILLIS);
     }
 
     /**
-     * Connects to a peer, and again each time that the link goes down, after a growing and jittered wait. Has no effect
-     * when this part of the program already wants the peer.
+     * Connects to a peer, and reconnects with jittered exponential backoff each time that the link goes down. Has no
+     * effect if this holder already holds the link.
      *
-     * @param peer where the peer listens
-     * @param holder part of the program that wants the link, such as {@code relay}
+     * @param peer address of the peer
+     * @param holder component that needs the link, such as {@code relay}
      */
     public void connect(PeerAddress peer, String holder) {
         if (!stopped.get()) {
@@ -129,52 +131,52 @@
     }
 
     /**
-     * Connects to a peer for the daemon itself.
+     * Connects to a peer with the daemon as the holder.
      *
-     * @param peer where the peer listens
+     * @param peer address of the peer
      */
     public void connect(PeerAddress peer) {
         connect(peer, DAEMON_HOLDER);
     }
 
     /**
-     * Closes the link to a peer and connects to it no more, once no part of the program wants it.
+     * Releases the link to a peer. Once it has no holder left, closes it and stops reconnecting.
      *
-     * @param peer where the peer listens
-     * @param holder part of the program that wanted the link
+     * @param peer address of the peer
+     * @param holder component that needed the link
      */
     public void disconnect(PeerAddress peer, String holder) {
         connectors.computeIfPresent(peer, (key, connector) -> connector.release(holder) ? null : connector);
     }
 
     /**
-     * Gives up a link of the daemon itself.
+     * Releases a link of which the daemon is the holder.
      *
-     * @param peer where the peer listens
+     * @param peer address of the peer
      */
     public void disconnect(PeerAddress peer) {
         disconnect(peer, DAEMON_HOLDER);
     }
 
     /**
-     * Asks the filter again about every connection and closes those that it admits no more. To be called when the
-     * published list has changed.
+     * Applies the filter again to every link and closes those that it no longer admits. Must be called when the
+     * published host list has changed.
      */
     public void recheck() {
         registry.recheck();
     }
 
     /**
-     * Returns the counters.
+     * Returns the counters of this network.
      *
-     * @return readings that go on counting
+     * @return live counters
      */
     public PeerCounters counters() {
         return context.counters();
     }
 
     /**
-     * Returns how many connections are open, in both directions.
+     * Returns the number of open connections, inbound and outbound.
      *
      * @return number of connections
      */
@@ -185,8 +187,8 @@
     /**
      * Returns the port on which the network listens.
      *
-     * @return TCP port; the one that the system chose when the description said 0
-     * @throws IllegalStateException before the start
+     * @return TCP port; the one that the system chose if the configured port is 0
+     * @throws IllegalStateException if the network has not been started
      */
     public int port() {
         if (serverChannel == null) {
@@ -212,7 +214,7 @@
         return new WriteBufferWaterMark(highBytes / 2, highBytes);
     }
 
-    /** Describes a network. */
+    /** Builds a peer network. */
     public static final class Builder {
         private Hello self;
         private String address;
@@ -226,7 +228,7 @@
         private Builder() {}
 
         /**
-         * Sets what this process says of itself; the protocol version is filled in.
+         * Sets the hello that this process sends; the protocol version is filled in.
          *
          * @param self host, role, incarnation and data centre
          * @return this builder
@@ -237,9 +239,9 @@
         }
 
         /**
-         * Sets the IP number on which the process listens and from which it connects.
+         * Sets the IP address on which the process listens and from which it connects.
          *
-         * @param address IP number
+         * @param address IP address
          * @return this builder
          */
         public Builder address(String address) {
@@ -259,9 +261,9 @@
         }
 
         /**
-         * Sets how many threads serve the links.
+         * Sets the number of network threads.
          *
-         * @param threads at least 1
+         * @param threads number of threads, at least 1
          * @return this builder
          */
         public Builder threads(int threads) {
@@ -272,7 +274,7 @@
         /**
          * Sets the limits.
          *
-         * @param limits limits; a field that is 0 takes the fallback of the schema
+         * @param limits limits; a field that is 0 takes the default of the schema
          * @return this builder
          */
         public Builder limits(PeerLimits limits) {
@@ -281,9 +283,9 @@
         }
 
         /**
-         * Sets who may be a peer.
+         * Sets the filter that decides which processes may be peers.
          *
-         * @param filter the decision
+         * @param filter the filter
          * @return this builder
          */
         public Builder filter(PeerFilter filter) {
@@ -292,7 +294,7 @@
         }
 
         /**
-         * Sets who is told of links and frames.
+         * Sets the listener that receives link events and frames.
          *
          * @param listener the listener
          * @return this builder
@@ -303,9 +305,9 @@
         }
 
         /**
-         * Sets what heartbeats say.
+         * Sets the source of heartbeats.
          *
-         * @param heartbeats makes the next heartbeat; called by network threads
+         * @param heartbeats supplies the next heartbeat; called by network threads
          * @return this builder
          */
         public Builder heartbeats(Supplier<Heartbeat> heartbeats) {
@@ -314,7 +316,7 @@
         }
 
         /**
-         * Makes the network.
+         * Creates the network.
          *
          * @return a network, not yet started
          */
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Backoff.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Backoff.java
@@ -4,10 +4,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Waits that double up to a limit, each shortened by chance to between half and the whole.
+ * Exponential backoff with jitter: delays double up to a limit, and each is randomly reduced to between 50% and 100%.
  *
- * <p>When a host comes back, all its peers have lost it at the same instant. Without the random part they would all
- * connect again at the same instant too.
+ * <p>When a host fails, all its peers lose their connections at the same time. Without jitter they would all reconnect
+ * at the same time too.
  */
 public final class Backoff {
     private static final int MAX_DOUBLINGS = 30;
@@ -18,41 +18,41 @@
     private int attempts;
 
     /**
-     * Makes a backoff with its own random numbers.
+     * Creates a backoff with its own random source.
      *
-     * @param firstMillis longest first wait
-     * @param maxMillis longest wait of all
+     * @param initialDelayMillis upper bound of the first delay
+     * @param maxDelayMillis upper bound of every delay
      */
-    public Backoff(long firstMillis, long maxMillis) {
-        this(firstMillis, maxMillis, RandomSource.XO_RO_SHI_RO_128_PP.create());
+    public Backoff(long initialDelayMillis, long maxDelayMillis) {
+        this(initialDelayMillis, maxDelayMillis, RandomSource.XO_RO_SHI_RO_128_PP.create());
     }
 
     /**
-     * Makes a backoff.
+     * Creates a backoff.
      *
-     * @param firstMillis longest first wait
-     * @param maxMillis longest wait of all
-     * @param random random numbers for the jitter
+     * @param initialDelayMillis upper bound of the first delay
+     * @param maxDelayMillis upper bound of every delay
+     * @param random random source for the jitter
      */
-    public Backoff(long firstMillis, long maxMillis, UniformRandomProvider random) {
-        this.initialDelayMillis = firstMillis;
-        this.maxDelayMillis = maxMillis;
+    public Backoff(long initialDelayMillis, long maxDelayMillis, UniformRandomProvider random) {
+        this.initialDelayMillis = initialDelayMillis;
+        this.maxDelayMillis = maxDelayMillis;
         this.random = random;
     }
 
     /**
-     * Returns the next wait.
+     * Returns the next delay.
      *
      * @return milliseconds, at least 1
      */
     public long nextDelayMillis() {
         long ceilingMillis = Math.min(maxDelayMillis, initialDelayMillis << Math.min(attempts, MAX_DOUBLINGS));
         attempts++;
-        double share = 0.5 + random.nextDouble() / 2;
-        return Math.max(1, Math.round(ceilingMillis * share));
+        double jitterFactor = 0.5 + random.nextDouble() / 2;
+        return Math.max(1, Math.round(ceilingMillis * jitterFactor));
     }
 
-    /** Starts again with the first wait. */
+    /** Restarts with the first delay. */
     public void reset() {
         attempts = 0;
     }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/ChannelCloser.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/ChannelCloser.java
@@ -5,20 +5,20 @@
 import io.netty.channel.ChannelFutureListener;
 import java.util.concurrent.TimeUnit;
 
-/** Closes connections without losing what is queued. */
+/** Closes connections after their queued data has been written. */
 final class ChannelCloser {
     private static final long FLUSH_TIMEOUT_MILLIS = 2_000;
 
     private ChannelCloser() {}
 
     /**
-     * Closes a connection once what is queued has been written, or after two seconds when the other side does not read.
+     * Closes a connection once its queued data has been written, or after two seconds if the remote side does not read.
      *
      * @param channel the connection
      */
     static void closeAfterFlush(Channel channel) {
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
-        var bound = channel.eventLoop().schedule(() -> channel.close(), FLUSH_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-        channel.closeFuture().addListener(closed -> bound.cancel(false));
+        var timeout = channel.eventLoop().schedule(() -> channel.close(), FLUSH_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        channel.closeFuture().addListener(closed -> timeout.cancel(false));
     }
 }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/ConnectionRegistry.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/ConnectionRegistry.java
@@ -6,25 +6,25 @@
 import io.netty.util.concurrent.GlobalEventExecutor;
 import org.whinwharf.wire.peer.PeerEvent;
 
-/** Open connections of one network, and which new ones are let in. */
+/** Tracks the open connections of one network and decides which inbound connections are admitted. */
 public final class ConnectionRegistry {
     private final int maxConnections;
     private final LinkContext linkContext;
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 
     /**
-     * Makes a gate without connections.
+     * Creates an empty registry.
      *
-     * @param maxConnections most open connections
-     * @param shared what all links share
+     * @param maxConnections maximum number of open connections
+     * @param linkContext state that all links share
      */
-    public ConnectionRegistry(int maxConnections, LinkContext shared) {
+    public ConnectionRegistry(int maxConnections, LinkContext linkContext) {
         this.maxConnections = maxConnections;
-        this.linkContext = shared;
+        this.linkContext = linkContext;
     }
 
     /**
-     * Returns how many connections are open.
+     * Returns the number of open connections.
      *
      * @return number of connections
      */
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Sends what is queued and closes all connections.
+     * Writes the queued data and closes all connections.
      *
-     * @param timeoutMillis longest wait
+     * @param timeoutMillis time limit for writing, and again for closing what is still open
      */
     public void closeAll(long timeoutMillis) {
         for (Channel channel : channels) {
@@ -45,7 +45,7 @@
         channels.close().awaitUninterruptibly(timeoutMillis);
     }
 
-    /** Closes each link whose peer the filter admits no more. */
+    /** Closes each link whose peer the filter no longer admits. */
     public void recheck() {
         for (Channel channel : channels) {
             LinkHandler handler = channel.pipeline().get(LinkHandler.class);
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Connector.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Connector.java
@@ -10,7 +10,7 @@
 import org.whinwharf.wire.peer.PeerAddress;
 import org.whinwharf.wire.peer.PeerEvent;
 
-/** Keeps one connection to one peer: connects again after each end, with a growing wait. */
+/** Maintains one connection to one peer: reconnects with backoff whenever the connection is lost. */
 public final class Connector {
     private final Bootstrap bootstrap;
     private final PeerAddress peer;
@@ -22,25 +22,30 @@
     private Future<?> retry;
 
     /**
-     * Makes a connector that does nothing yet.
+     * Creates a connector that does not connect before it has a holder.
      *
-     * @param bootstrap makes the connection; its handler is set here
-     * @param peer where the peer listens
-     * @param backoff waits between attempts
-     * @param shared what all links share
-     * @param gate knows the open connections
+     * @param bootstrap bootstrap of the connection; its handler is set here
+     * @param peer address of the peer
+     * @param backoff delays between attempts
+     * @param linkContext state that all links share
+     * @param registry registry of open connections
      */
-    public Connector(Bootstrap bootstrap, PeerAddress peer, Backoff backoff, LinkContext shared, ConnectionRegistry gate) {
+    public Connector(
+            Bootstrap bootstrap,
+            PeerAddress peer,
+            Backoff backoff,
+            LinkContext linkContext,
+            ConnectionRegistry registry) {
         this.peer = peer;
         this.backoff = backoff;
-        this.linkContext = shared;
-        this.bootstrap = bootstrap.handler(LinkInitializer.outbound(shared, gate, peer, this::resetBackoff));
+        this.linkContext = linkContext;
+        this.bootstrap = bootstrap.handler(LinkInitializer.outbound(linkContext, registry, peer, this::resetBackoff));
     }
 
     /**
-     * Connects when this is the first holder.
+     * Adds a holder, and connects if it is the first one.
      *
-     * @param holder who wants the link
+     * @param holder component that needs the link
      */
     public synchronized void acquire(String holder) {
         boolean first = holders.isEmpty();
@@ -51,10 +56,10 @@
     }
 
     /**
-     * Closes the connection when this was the last holder.
+     * Removes a holder, and closes the connection if it was the last one.
      *
-     * @param holder who wants the link no more
-     * @return true when nobody is left
+     * @param holder component that no longer needs the link
+     * @return true if no holder is left
      */
     public synchronized boolean release(String holder) {
         holders.remove(holder);
@@ -64,7 +69,7 @@
         return holders.isEmpty();
     }
 
-    /** Sends what is queued, closes the connection and connects no more. */
+    /** Writes the queued frames, closes the connection and stops reconnecting. */
     public synchronized void stop() {
         stopped = true;
         if (retry != null) {
@@ -77,31 +82,31 @@
 
     private synchronized void connect() {
         if (!stopped) {
-            ChannelFuture connecting = bootstrap.connect(peer.address(), peer.port());
-            connecting.addListener(done -> connectFinished(connecting));
+            ChannelFuture connectFuture = bootstrap.connect(peer.address(), peer.port());
+            connectFuture.addListener(completed -> connectFinished(connectFuture));
         }
     }
 
-    private synchronized void connectFinished(ChannelFuture connecting) {
-        if (!connecting.isSuccess()) {
+    private synchronized void connectFinished(ChannelFuture connectFuture) {
+        if (!connectFuture.isSuccess()) {
             linkContext.counters().add(PeerEvent.CONNECT_FAILED);
             linkContext.listener().unreachable(peer);
-            scheduleReconnect(connecting.channel());
+            scheduleReconnect(connectFuture.channel());
             return;
         }
         if (stopped) {
-            // Given up while the connection was being made; before that there was nothing that could be closed.
-            connecting.channel().close();
+            // The connector was stopped while the connect was in progress, when it had no channel to close yet.
+            connectFuture.channel().close();
             return;
         }
         linkContext.counters().add(PeerEvent.CONNECTED);
-        channel = connecting.channel();
-        channel.closeFuture().addListener(closed -> scheduleReconnect(connecting.channel()));
+        channel = connectFuture.channel();
+        channel.closeFuture().addListener(closed -> scheduleReconnect(connectFuture.channel()));
     }
 
-    private synchronized void scheduleReconnect(Channel ended) {
+    private synchronized void scheduleReconnect(Channel closedChannel) {
         if (!stopped) {
-            retry = ended.eventLoop().schedule(this::connect, backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
+            retry = closedChannel.eventLoop().schedule(this::connect, backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
         }
     }
 
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/FrameDecoder.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/FrameDecoder.java
@@ -10,9 +10,9 @@
 import org.whinwharf.wire.message.Frame;
 import org.whinwharf.wire.peer.PeerEvent;
 
-/** Cuts the bytes of a connection into frames. After the first bad one it reads nothing more. */
+/** Decodes the byte stream of a connection into frames. After the first invalid frame it discards all input. */
 public final class FrameDecoder extends ByteToMessageDecoder {
-    /** Largest first frame: a stranger can make us hold no more than this. */
+    /** Maximum size of the first frame. Bounds the memory that an unidentified sender can make this process use. */
     public static final int MAX_HELLO_BYTES = 1_024;
 
     private static final int MAX_PREFIX_BYTES = 5;
@@ -23,7 +23,7 @@
     private boolean failed;
 
     /**
-     * Makes a decoder that accepts only a hello's size until told otherwise.
+     * Creates a decoder that accepts frames of up to {@link #MAX_HELLO_BYTES} until the limit is raised.
      *
      * @param counters counters of the network
      */
@@ -53,7 +53,7 @@
         int start = in.readerIndex();
         int sizeBytes = readLengthPrefix(in);
         if (sizeBytes > maxFrameBytes) {
-            throw new TooLongFrameException("frame of " + sizeBytes + " bytes, allowed " + maxFrameBytes);
+            throw new TooLongFrameException("frame of " + sizeBytes + " bytes exceeds the limit of " + maxFrameBytes);
         }
         if (sizeBytes == INCOMPLETE || in.readableBytes() < sizeBytes) {
             in.readerIndex(start);
@@ -78,14 +78,14 @@
                 return (int) Math.min(value, Integer.MAX_VALUE);
             }
         }
-        throw new CorruptedFrameException("length prefix of more than " + MAX_PREFIX_BYTES + " bytes");
+        throw new CorruptedFrameException("length prefix is longer than " + MAX_PREFIX_BYTES + " bytes");
     }
 
     private static Frame parse(ByteBuf in, int sizeBytes) {
         try {
             return Frame.parseFrom(in.nioBuffer(in.readerIndex(), sizeBytes));
         } catch (InvalidProtocolBufferException e) {
-            throw new CorruptedFrameException("not a frame", e);
+            throw new CorruptedFrameException("frame cannot be parsed", e);
         }
     }
 }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/FrameEncoder.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/FrameEncoder.java
@@ -8,16 +8,16 @@
 import java.nio.ByteBuffer;
 import org.whinwharf.wire.message.Frame;
 
-/** Writes frames with their length prefix. */
+/** Encodes frames with their length prefix. */
 public final class FrameEncoder {
     private FrameEncoder() {}
 
     /**
-     * Writes a frame.
+     * Encodes a frame.
      *
-     * @param allocator where the buffer comes from
+     * @param allocator allocator of the buffer
      * @param frame the frame
-     * @return buffer with prefix and frame; the receiver releases it
+     * @return buffer with prefix and frame; the caller releases it
      */
     public static ByteBuf encode(ByteBufAllocator allocator, Frame frame) {
         int sizeBytes = frame.getSerializedSize();
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Link.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Link.java
@@ -9,7 +9,7 @@
 import org.whinwharf.wire.peer.PeerEvent;
 import org.whinwharf.wire.peer.PeerLink;
 
-/** Link over one channel. */
+/** Peer link over one Netty channel. */
 final class Link implements PeerLink {
     private final Channel channel;
     private final Hello peer;
@@ -36,7 +36,7 @@
             counters.add(PeerEvent.SEND_OVERSIZED);
             return false;
         }
-        // A peer that does not read must not fill our heap: neither by count nor by bytes may more wait for it.
+        // Limits the queue by frames and by bytes, so that a peer that does not read cannot exhaust the heap.
         if (!channel.isActive() || !channel.isWritable() || !reserveQueueSlot()) {
             counters.add(PeerEvent.SEND_REFUSED);
             return false;
@@ -44,7 +44,7 @@
         ByteBuf buffer = FrameEncoder.encode(channel.alloc(), frame);
         counters.add(PeerEvent.FRAMES_OUT);
         counters.add(PeerEvent.BYTES_OUT, buffer.readableBytes());
-        channel.writeAndFlush(buffer).addListener(done -> queuedFrames.decrementAndGet());
+        channel.writeAndFlush(buffer).addListener(completed -> queuedFrames.decrementAndGet());
         return true;
     }
 
@@ -59,9 +59,9 @@
         return channel;
     }
 
-    String closeReason(String otherwise) {
+    String closeReason(String fallback) {
         String reason = closeReason.get();
-        return reason == null ? otherwise : reason;
+        return reason == null ? fallback : reason;
     }
 
     private boolean reserveQueueSlot() {
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkContext.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkContext.java
@@ -7,13 +7,13 @@
 import org.whinwharf.wire.peer.PeerListener;
 
 /**
- * What all links of one network share.
+ * State that all links of one network share.
  *
- * @param self what this process says of itself
+ * @param self hello that this process sends
  * @param limits limits of each link
- * @param filter who may be a peer
- * @param listener who is told of links and frames
- * @param heartbeats makes the next heartbeat
+ * @param filter decides which processes may be peers
+ * @param listener receives link events and frames
+ * @param heartbeats supplies the next heartbeat
  * @param counters counters of the network
  */
 public record LinkContext(
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkCounters.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkCounters.java
@@ -6,11 +6,11 @@
 import org.whinwharf.wire.peer.PeerCounters;
 import org.whinwharf.wire.peer.PeerEvent;
 
-/** Counters that network threads add to. */
+/** Event counters that network threads increment. */
 public final class LinkCounters implements PeerCounters {
     private final Map<PeerEvent, LongAdder> adders = new EnumMap<>(PeerEvent.class);
 
-    /** Makes counters that stand at 0. */
+    /** Creates counters that start at 0. */
     public LinkCounters() {
         for (PeerEvent event : PeerEvent.values()) {
             adders.put(event, new LongAdder());
@@ -26,7 +26,7 @@
         adders.get(event).increment();
     }
 
-    void add(PeerEvent event, long number) {
-        adders.get(event).add(number);
+    void add(PeerEvent event, long amount) {
+        adders.get(event).add(amount);
     }
 }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkHandler.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkHandler.java
@@ -17,7 +17,7 @@
 import org.whinwharf.wire.peer.PeerEvent;
 import org.whinwharf.wire.peer.PeerNetwork;
 
-/** Leads one connection from hello to its end. */
+/** Handles one connection: hello handshake, received frames, heartbeats and closing. */
 public final class LinkHandler extends SimpleChannelInboundHandler<Frame> {
     private static final Logger LOG = LogManager.getLogger(LinkHandler.class);
 
@@ -27,21 +27,21 @@
     private final Runnable onLinkUp;
     private Link link;
     private ScheduledFuture<?> heartbeat;
-    private String reason = "closed by the other side";
+    private String reason = "closed by the remote process";
 
     /**
-     * Makes the handler of one connection.
+     * Creates the handler of one connection.
      *
-     * @param shared what all links share
+     * @param linkContext state that all links share
      * @param decoder decoder of the same connection
-     * @param called the peer that this process called; null when the other side called
-     * @param onUp is run once when the link comes up
+     * @param expectedPeer peer that this process connected to; null for an inbound connection
+     * @param onLinkUp runs once when the link comes up
      */
-    public LinkHandler(LinkContext shared, FrameDecoder decoder, PeerAddress called, Runnable onUp) {
-        this.linkContext = shared;
+    public LinkHandler(LinkContext linkContext, FrameDecoder decoder, PeerAddress expectedPeer, Runnable onLinkUp) {
+        this.linkContext = linkContext;
         this.decoder = decoder;
-        this.expectedPeer = called;
-        this.onLinkUp = onUp;
+        this.expectedPeer = expectedPeer;
+        this.onLinkUp = onLinkUp;
     }
 
     @Override
@@ -81,8 +81,8 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
         if (event instanceof IdleStateEvent) {
-            // A host that vanishes sends no end of stream; only its silence shows that the link is dead.
-            close(context, PeerEvent.IDLE, "nothing heard in time");
+            // A host that fails sends no end of stream; only the idle timeout shows that the link is dead.
+            close(context, PeerEvent.IDLE, "no frame received within the idle timeout");
         } else {
             context.fireUserEventTriggered(event);
         }
@@ -93,7 +93,7 @@
         close(context, eventOf(failure), String.valueOf(failure.getMessage()));
     }
 
-    /** Closes the connection when its peer is admitted no more; called by the connection's thread. */
+    /** Closes the connection if the filter no longer admits its peer. Called by the connection's event loop. */
     void recheck() {
         if (link == null || !link.channel().isActive()) {
             return;
@@ -106,12 +106,12 @@
 
     private void receiveHello(ChannelHandlerContext context, Frame frame) {
         if (!frame.hasHello()) {
-            close(context, PeerEvent.UNKNOWN_FRAME, "first frame is no hello");
+            close(context, PeerEvent.UNKNOWN_FRAME, "first frame is not a hello");
             return;
         }
         Hello hello = frame.getHello();
         if (hello.getProtocol() != PeerNetwork.PROTOCOL_VERSION) {
-            close(context, PeerEvent.PROTOCOL_MISMATCH, "protocol " + hello.getProtocol());
+            close(context, PeerEvent.PROTOCOL_MISMATCH, "remote protocol version " + hello.getProtocol());
         } else if (!isExpectedPeer(hello)) {
             close(context, PeerEvent.WRONG_PEER, "answered by " + hello.getHost() + "/" + hello.getRole());
         } else if (!linkContext.filter().admits(hello, addressOf(context.channel()))) {
@@ -122,12 +122,15 @@
     }
 
     private boolean isExpectedPeer(Hello hello) {
-        return expectedPeer == null || (hello.getHost().equals(expectedPeer.host()) && hello.getRole() == expectedPeer.role());
+        return expectedPeer == null
+                || (hello.getHost().equals(expectedPeer.host()) && hello.getRole() == expectedPeer.role());
     }
 
     private void establishLink(ChannelHandlerContext context, Hello hello) {
         if (expectedPeer == null) {
-            // Said only now: a caller that hears hello knows that it was accepted, and its backoff starts anew.
+            // Sent only after acceptance: on this hello the connecting process knows that it was accepted, and resets
+            // its
+            // backoff.
             sendHello(context);
         }
         decoder.setMaxFrameBytes(linkContext.limits().maxFrameBytes());
@@ -135,12 +138,14 @@
         linkContext.counters().add(PeerEvent.LINK_UP);
         onLinkUp.run();
         linkContext.listener().linkUp(link);
-        long periodMillis = linkContext.limits().heartbeatIntervalMillis();
-        heartbeat = context.executor().scheduleAtFixedRate(this::sendHeartbeat, 0, periodMillis, TimeUnit.MILLISECONDS);
+        long intervalMillis = linkContext.limits().heartbeatIntervalMillis();
+        heartbeat =
+                context.executor().scheduleAtFixedRate(this::sendHeartbeat, 0, intervalMillis, TimeUnit.MILLISECONDS);
     }
 
     private void sendHeartbeat() {
-        link.send(Frame.newBuilder().setHeartbeat(linkContext.heartbeats().get()).build());
+        link.send(
+                Frame.newBuilder().setHeartbeat(linkContext.heartbeats().get()).build());
     }
 
     private void sendHello(ChannelHandlerContext context) {
@@ -152,12 +157,12 @@
         return !context.channel().isActive();
     }
 
-    private void close(ChannelHandlerContext context, PeerEvent kind, String detail) {
+    private void close(ChannelHandlerContext context, PeerEvent event, String detail) {
         if (!context.channel().isActive()) {
             return;
         }
-        linkContext.counters().add(kind);
-        reason = kind.metricName() + ": " + detail;
+        linkContext.counters().add(event);
+        reason = event.metricName() + ": " + detail;
         LOG.info("connection with {} closed, {}", context.channel().remoteAddress(), reason);
         context.close();
     }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkInitializer.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkInitializer.java
@@ -9,7 +9,7 @@
 import org.whinwharf.wire.peer.PeerAddress;
 import org.whinwharf.wire.peer.PeerEvent;
 
-/** Builds the pipeline of each connection. */
+/** Initialises the channel pipeline of each connection. */
 public final class LinkInitializer extends ChannelInitializer<Channel> {
     private static final int MAX_CONSOLIDATED_FLUSHES = 64;
 
@@ -18,26 +18,28 @@
     private final PeerAddress expectedPeer;
     private final Runnable onLinkUp;
 
-    private LinkInitializer(LinkContext shared, ConnectionRegistry gate, PeerAddress called, Runnable onUp) {
-        this.linkContext = shared;
-        this.registry = gate;
-        this.expectedPeer = called;
-        this.onLinkUp = onUp;
+    private LinkInitializer(
+            LinkContext linkContext, ConnectionRegistry registry, PeerAddress expectedPeer, Runnable onLinkUp) {
+        this.linkContext = linkContext;
+        this.registry = registry;
+        this.expectedPeer = expectedPeer;
+        this.onLinkUp = onLinkUp;
     }
 
     /**
-     * Makes the initializer of connections that others make.
+     * Returns an initialiser for inbound connections.
      *
-     * @param shared what all links share
-     * @param gate lets connections in
-     * @return an initializer
+     * @param linkContext state that all links share
+     * @param registry admits inbound connections
+     * @return an initialiser
      */
-    public static LinkInitializer inbound(LinkContext shared, ConnectionRegistry gate) {
-        return new LinkInitializer(shared, gate, null, () -> {});
+    public static LinkInitializer inbound(LinkContext linkContext, ConnectionRegistry registry) {
+        return new LinkInitializer(linkContext, registry, null, () -> {});
     }
 
-    static LinkInitializer outbound(LinkContext shared, ConnectionRegistry gate, PeerAddress called, Runnable onUp) {
-        return new LinkInitializer(shared, gate, called, onUp);
+    static LinkInitializer outbound(
+            LinkContext linkContext, ConnectionRegistry registry, PeerAddress expectedPeer, Runnable onLinkUp) {
+        return new LinkInitializer(linkContext, registry, expectedPeer, onLinkUp);
     }
 
     @Override
@@ -56,17 +58,20 @@
     /**
      * Adds the handlers of one connection.
      *
-     * @param pipeline where to add them
-     * @param shared what all links share
-     * @param called the peer that this process called; null when the other side called
-     * @param onUp is run once when the link comes up
+     * @param pipeline pipeline of the connection
+     * @param linkContext state that all links share
+     * @param expectedPeer peer that this process connected to; null for an inbound connection
+     * @param onLinkUp runs once when the link comes up
      */
-    public static void addHandlers(ChannelPipeline pipeline, LinkContext shared, PeerAddress called, Runnable onUp) {
-        FrameDecoder decoder = new FrameDecoder(shared.counters());
+    public static void addHandlers(
+            ChannelPipeline pipeline, LinkContext linkContext, PeerAddress expectedPeer, Runnable onLinkUp) {
+        FrameDecoder decoder = new FrameDecoder(linkContext.counters());
         pipeline.addLast(new FlushConsolidationHandler(MAX_CONSOLIDATED_FLUSHES, true));
         pipeline.addLast(decoder);
-        // After the decoder, so that only whole frames count as life: a drip of single bytes keeps no link open.
-        pipeline.addLast(new IdleStateHandler(shared.limits().idleTimeoutMillis(), 0, 0, TimeUnit.MILLISECONDS));
-        pipeline.addLast(new LinkHandler(shared, decoder, called, onUp));
+        // Placed after the decoder, so that only complete frames reset the idle timeout: a sender of single bytes
+        // cannot
+        // keep a link open.
+        pipeline.addLast(new IdleStateHandler(linkContext.limits().idleTimeoutMillis(), 0, 0, TimeUnit.MILLISECONDS));
+        pipeline.addLast(new LinkHandler(linkContext, decoder, expectedPeer, onLinkUp));
     }
 }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkLimits.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkLimits.java
@@ -3,15 +3,15 @@
 import org.whinwharf.wire.schema.PeerLimits;
 
 /**
- * Limits of links with nothing left open.
+ * Limits of links, with defaults filled in.
  *
- * @param maxFrameBytes largest frame, without its length prefix
- * @param maxQueuedFrames most frames that wait to be written to one link
- * @param heartbeatIntervalMillis time between two heartbeats
- * @param idleTimeoutMillis longest silence of the other side
- * @param maxConnections most open connections
- * @param initialReconnectDelayMillis first wait before another attempt to connect
- * @param maxReconnectDelayMillis longest such wait
+ * @param maxFrameBytes maximum frame size, without the length prefix
+ * @param maxQueuedFrames maximum number of frames queued on one link
+ * @param heartbeatIntervalMillis interval between heartbeats
+ * @param idleTimeoutMillis time without a received frame after which a link is closed
+ * @param maxConnections maximum number of open connections
+ * @param initialReconnectDelayMillis upper bound of the first delay before reconnecting
+ * @param maxReconnectDelayMillis upper bound of every such delay
  */
 public record LinkLimits(
         int maxFrameBytes,
@@ -30,9 +30,9 @@
     private static final long DEFAULT_MAX_RECONNECT_DELAY_MILLIS = 5_000;
 
     /**
-     * Fills in the fallbacks of the schema.
+     * Returns the configured limits, with the defaults of the schema for absent fields.
      *
-     * @param limits limits as settings give them; 0 stands for an absent field
+     * @param limits limits from the settings; 0 stands for an absent field
      * @return limits in which every field is positive
      */
     public static LinkLimits of(PeerLimits limits) {
@@ -46,7 +46,7 @@
                 orElse(limits.getMaxReconnectMillis(), DEFAULT_MAX_RECONNECT_DELAY_MILLIS));
     }
 
-    private static long orElse(long value, long fallback) {
-        return value > 0 ? value : fallback;
+    private static long orElse(long value, long defaultValue) {
+        return value > 0 ? value : defaultValue;
     }
 }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/package-info.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Pipeline behind the peer network: frames, hello, heartbeats, reconnects and limits. */
+/** Implementation of the peer network: framing, handshake, heartbeats, reconnection and limits. */
 package org.whinwharf.wire.peer.internal;
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/package-info.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Links between whinwharf's own processes. */
+/** Network links between whinwharf processes. */
 package org.whinwharf.wire.peer;
