--- a/org.whinwharf.scheduler.test/src/test/java/org/whinwharf/scheduler/FakePlatform.java
+++ b/org.whinwharf.scheduler.test/src/test/java/org/whinwharf/scheduler/FakePlatform.java
@@ -15,7 +15,7 @@
 final class FakePlatform implements AutoCloseable {
     private static final int OK = 200;
     private static final int NOT_MODIFIED = 304;
-    private static final long PAUSE_MILLIS = 100;
+    private static final long NOT_MODIFIED_DELAY_MILLIS = 100;
 
     private final HttpServer server;
     private volatile byte[] document = new byte[0];
@@ -25,8 +25,8 @@
         server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
         server.createContext("/v1/documents/", exchange -> publish(exchange, "above=0", document));
         server.createContext("/v1/hosts", exchange -> publish(exchange, "after=0", json(hosts)));
-        server.createContext("/v1/load", exchange -> answer(exchange, OK, json(load())));
-        server.createContext("/v1/cache-events", exchange -> answer(exchange, OK, "{}".getBytes()));
+        server.createContext("/v1/load", exchange -> respond(exchange, OK, json(load())));
+        server.createContext("/v1/cache-events", exchange -> respond(exchange, OK, "{}".getBytes()));
         server.start();
     }
 
@@ -48,9 +48,9 @@
         server.stop(0);
     }
 
-    private static void publish(HttpExchange exchange, String whenNew, byte[] body) throws IOException {
-        if (exchange.getRequestURI().getQuery().contains(whenNew)) {
-            answer(exchange, OK, body);
+    private static void publish(HttpExchange exchange, String initialQuery, byte[] body) throws IOException {
+        if (exchange.getRequestURI().getQuery().contains(initialQuery)) {
+            respond(exchange, OK, body);
         } else {
             pause();
             exchange.sendResponseHeaders(NOT_MODIFIED, -1);
@@ -58,7 +58,7 @@
         }
     }
 
-    private static void answer(HttpExchange exchange, int status, byte[] body) throws IOException {
+    private static void respond(HttpExchange exchange, int status, byte[] body) throws IOException {
         exchange.getResponseHeaders().set("X-Generation", "1");
         exchange.sendResponseHeaders(status, body.length);
         exchange.getResponseBody().write(body);
@@ -75,7 +75,7 @@
 
     private static void pause() {
         try {
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(NOT_MODIFIED_DELAY_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/org.whinwharf.scheduler.test/src/test/java/org/whinwharf/scheduler/SchedulerDaemonTest.java
+++ b/org.whinwharf.scheduler.test/src/test/java/org/whinwharf/scheduler/SchedulerDaemonTest.java
@@ -54,14 +54,14 @@
 
 class SchedulerDaemonTest {
     private static final String ADDRESS = "127.0.0.1";
-    private static final long AWAIT_SECONDS = 30;
-    private static final int ATTEMPTS = 300;
-    private static final long ATTEMPT_MILLIS = 100;
+    private static final long TIMEOUT_SECONDS = 30;
+    private static final int MAX_ATTEMPTS = 300;
+    private static final long ATTEMPT_INTERVAL_MILLIS = 100;
     private static final SliceId SLICE =
             SliceId.newBuilder().setService("llm").setDataCentre("a").build();
 
     private final BlockingQueue<Frame> received = new LinkedBlockingQueue<>();
-    private final List<Frame> seen = new ArrayList<>();
+    private final List<Frame> pendingFrames = new ArrayList<>();
     private final CompletableFuture<PeerLink> linked = new CompletableFuture<>();
 
     // The host is replaced while one request holds a grant and another waits. The waiting one must move on at once, and
@@ -77,8 +77,8 @@
                 daemon.start();
                 entry.start();
                 entry.connect(new PeerAddress("s0", Role.SCHEDULER, ADDRESS, schedulerPort));
-                PeerLink link = linked.get(AWAIT_SECONDS, TimeUnit.SECONDS);
-                enqueueUntilTaken(link);
+                PeerLink link = linked.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                enqueueUntilAnswered(link);
                 Grant grant = next(Frame.BodyCase.GRANT).getGrant();
                 assertThat(grant.getPort(), is(platform.port()));
                 enqueue(link, 2);
@@ -86,7 +86,7 @@
                 assertThat(next(Frame.BodyCase.REFUSAL).getRefusal().getReason(), is(RefusalReason.OWNER_LEAVING));
                 assertThat(next(Frame.BodyCase.RECALL).getRecall().getGrant(), is(grant.getGrant()));
                 link.send(unused(grant));
-                left.get(AWAIT_SECONDS, TimeUnit.SECONDS);
+                left.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             } finally {
                 entry.stop();
                 daemon.stop();
@@ -95,10 +95,10 @@
     }
 
     // Before the first list and document the scheduler drops what it hears, as it cannot tell whose slice it is.
-    private void enqueueUntilTaken(PeerLink link) throws InterruptedException {
-        for (int attempt = 0; attempt < ATTEMPTS && received.isEmpty(); attempt++) {
+    private void enqueueUntilAnswered(PeerLink link) throws InterruptedException {
+        for (int attempt = 0; attempt < MAX_ATTEMPTS && received.isEmpty(); attempt++) {
             enqueue(link, 1);
-            TimeUnit.MILLISECONDS.sleep(ATTEMPT_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(ATTEMPT_INTERVAL_MILLIS);
         }
     }
 
@@ -127,16 +127,16 @@
 
     // The stop and the second request reach the scheduler on different ways, so its answers may come in either order.
     private Frame next(Frame.BodyCase kind) throws InterruptedException {
-        while (seen.stream().noneMatch(frame -> frame.getBodyCase() == kind)) {
-            Frame frame = received.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
+        while (pendingFrames.stream().noneMatch(frame -> frame.getBodyCase() == kind)) {
+            Frame frame = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertThat("no " + kind, frame != null, is(true));
-            seen.add(frame);
+            pendingFrames.add(frame);
         }
-        Frame found = seen.stream()
+        Frame found = pendingFrames.stream()
                 .filter(frame -> frame.getBodyCase() == kind)
                 .findFirst()
                 .orElseThrow();
-        seen.remove(found);
+        pendingFrames.remove(found);
         return found;
     }
 
@@ -151,7 +151,7 @@
                 .address(ADDRESS)
                 .port(freePort())
                 .limits(SchemaChecker.complete(PeerLimits.getDefaultInstance()))
-                .filter(new Anybody())
+                .filter(new AllowAllFilter())
                 .listener(new Listener())
                 .heartbeats(() -> Heartbeat.newBuilder().setSentAtMillis(now()).build())
                 .call();
@@ -231,7 +231,7 @@
         }
     }
 
-    private static final class Anybody implements PeerFilter {
+    private static final class AllowAllFilter implements PeerFilter {
         @Override
         public boolean admitsAddress(String address) {
             return true;
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/SchedulerDaemon.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/SchedulerDaemon.java
@@ -24,7 +24,7 @@
 public final class SchedulerDaemon implements Daemon {
     private static final int RING_SIZE = 16_384;
     private static final long TICK_MILLIS = 50;
-    private static final long LIST_WAIT_MILLIS = 10_000;
+    private static final long HOST_LIST_TIMEOUT_MILLIS = 10_000;
 
     private final Node node;
     private final Duty<Consumer<SchedulerLoop>> decisions;
@@ -41,9 +41,9 @@
         node = Node.builder()
                 .settings(settings.getNode())
                 .role(Role.SCHEDULER)
-                .listener(new Changes())
+                .listener(new ConfigurationListener())
                 .peers(links)
-                .listWaitMillis(LIST_WAIT_MILLIS)
+                .listWaitMillis(HOST_LIST_TIMEOUT_MILLIS)
                 .status(status -> status.addAllSlices(states()))
                 .call();
         poller = new LoadPoller(settings.getLoadPollMillis(), node.ticker(), this::offer);
@@ -51,7 +51,7 @@
         loop = new SchedulerLoop(node, links, poller, new SchedulerMetrics(node.registry()), placement);
         decisions = Duty.<Consumer<SchedulerLoop>>builder()
                 .name("decisions")
-                .handler(new Handler())
+                .handler(new DecisionHandler())
                 .ringSize(RING_SIZE)
                 .tickMillis(TICK_MILLIS)
                 .call();
@@ -68,7 +68,7 @@
     public CompletableFuture<Void> leave() {
         CompletableFuture<Void> handedOver = new CompletableFuture<>();
         node.leave();
-        offer(each -> each.leave(handedOver));
+        offer(receiver -> receiver.leave(handedOver));
         return handedOver;
     }
 
@@ -87,7 +87,7 @@
         return loop == null ? List.of() : loop.states();
     }
 
-    private final class Handler implements DutyHandler<Consumer<SchedulerLoop>> {
+    private final class DecisionHandler implements DutyHandler<Consumer<SchedulerLoop>> {
         @Override
         public void handle(Consumer<SchedulerLoop> event) {
             event.accept(loop);
@@ -99,17 +99,17 @@
         }
     }
 
-    private final class Changes implements NodeListener {
+    private final class ConfigurationListener implements NodeListener {
         @Override
         public void documentChanged(DocumentView document) {
-            SchedulerConfiguration rules =
+            SchedulerConfiguration configuration =
                     SchedulerConfiguration.of(document.services(), document.tiers(), document.timing());
-            offer(each -> each.documentChanged(rules));
+            offer(receiver -> receiver.documentChanged(configuration));
         }
 
         @Override
         public void membershipChanged(Membership membership) {
-            offer(each -> each.membershipChanged(membership));
+            offer(receiver -> receiver.membershipChanged(membership));
         }
     }
 }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/LoadPoller.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/LoadPoller.java
@@ -29,16 +29,16 @@
 /** Duty that reads load and cache events of the targets of own slices. */
 public final class LoadPoller implements Service {
     private static final int RING_SIZE = 64;
-    private static final long CONNECT_MILLIS = 500;
-    private static final long ANSWER_MILLIS = 1_000;
-    private static final int MAX_ANSWER_BYTES = 1 << 20;
-    private static final int POLLS_PER_CACHE_READ = 4;
+    private static final long CONNECT_TIMEOUT_MILLIS = 500;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 1_000;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
+    private static final int POLLS_PER_CACHE_REQUEST = 4;
 
     private final Ticker ticker;
     private final EventRing ring;
     private final HttpClient client;
     private final Duty<Map<String, Target>> duty;
-    private final Set<String> asked = ConcurrentHashMap.newKeySet();
+    private final Set<String> pendingRequests = ConcurrentHashMap.newKeySet();
 
     /**
      * Creates the poller.
@@ -53,7 +53,7 @@
         this.client = newClient();
         this.duty = Duty.<Map<String, Target>>builder()
                 .name("load")
-                .handler(new Handler())
+                .handler(new PollHandler())
                 .ringSize(RING_SIZE)
                 .tickMillis(pollMillis)
                 .call();
@@ -81,27 +81,27 @@
 
     private static HttpClient newClient() {
         DefaultHttpClientConfiguration configuration = new DefaultHttpClientConfiguration();
-        configuration.setConnectTimeout(Duration.ofMillis(CONNECT_MILLIS));
-        configuration.setReadTimeout(Duration.ofMillis(ANSWER_MILLIS));
-        configuration.setMaxContentLength(MAX_ANSWER_BYTES);
+        configuration.setConnectTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MILLIS));
+        configuration.setReadTimeout(Duration.ofMillis(RESPONSE_TIMEOUT_MILLIS));
+        configuration.setMaxContentLength(MAX_RESPONSE_BYTES);
         configuration.setNumOfThreads(1);
         return HttpClient.create((URL) null, configuration);
     }
 
-    private void readLoad(String name, Target target) {
-        long askedAtMillis = ticker.nowMillis();
-        get(
+    private void requestLoad(String name, Target target) {
+        long requestedAtMillis = ticker.nowMillis();
+        sendRequest(
                 name + "/load",
                 target.baseUrl() + "/v1/load",
                 body -> {
                     TargetLoad load = parse(body, TargetLoad.newBuilder()).build();
-                    ring.offer(loop -> loop.handle(new SchedulerEvent.LoadReceived(name, load, askedAtMillis)));
+                    ring.offer(loop -> loop.handle(new SchedulerEvent.LoadReceived(name, load, requestedAtMillis)));
                 },
                 () -> ring.offer(loop -> loop.handle(new SchedulerEvent.LoadRequestFailed(name))));
     }
 
-    private void readCache(String name, Target target) {
-        get(
+    private void requestCacheEvents(String name, Target target) {
+        sendRequest(
                 name + "/cache",
                 target.baseUrl() + "/v1/cache-events?after=" + target.lastCacheEventNumber(),
                 body -> {
@@ -114,28 +114,28 @@
     }
 
     // One question at a time for each target: one that answers slowly must not gather questions.
-    private void get(String key, String url, Consumer<byte[]> answered, Runnable failed) {
-        if (!asked.add(key)) {
+    private void sendRequest(String key, String url, Consumer<byte[]> onResponse, Runnable onFailure) {
+        if (!pendingRequests.add(key)) {
             return;
         }
         client.exchange(HttpRequest.GET(url), byte[].class)
                 .subscribe(new SingleResponse<>(
                         response -> {
-                            asked.remove(key);
-                            accept(response, answered, failed);
+                            pendingRequests.remove(key);
+                            handleResponse(response, onResponse, onFailure);
                         },
                         () -> {
-                            asked.remove(key);
-                            failed.run();
+                            pendingRequests.remove(key);
+                            onFailure.run();
                         }));
     }
 
-    private static void accept(HttpResponse<byte[]> response, Consumer<byte[]> answered, Runnable failed) {
+    private static void handleResponse(HttpResponse<byte[]> response, Consumer<byte[]> onResponse, Runnable onFailure) {
         byte[] body = response.body();
         try {
-            answered.accept(body == null ? new byte[0] : body);
+            onResponse.accept(body == null ? new byte[0] : body);
         } catch (IllegalArgumentException malformed) {
-            failed.run();
+            onFailure.run();
         }
     }
 
@@ -156,16 +156,17 @@
      * @param lastCacheEventNumber number of the last cache event seen
      */
     public record Target(String baseUrl, boolean hasCache, long lastCacheEventNumber) {
-        static Target of(Host host, SchedulerConfiguration rules, long lastCacheEvent) {
+        static Target of(Host host, SchedulerConfiguration configuration, long lastCacheEventNumber) {
             String url = "http://" + host.getAddress() + ":" + host.getTarget().getPort();
-            ServiceKind kind = rules.service(host.getTarget().getService()).getKind();
-            return new Target(url, kind == ServiceKind.ENGINE, lastCacheEvent);
+            ServiceKind kind =
+                    configuration.service(host.getTarget().getService()).getKind();
+            return new Target(url, kind == ServiceKind.ENGINE, lastCacheEventNumber);
         }
     }
 
-    private final class Handler implements DutyHandler<Map<String, Target>> {
+    private final class PollHandler implements DutyHandler<Map<String, Target>> {
         private Map<String, Target> targets = new HashMap<>();
-        private int polls;
+        private int pollCount;
 
         @Override
         public void handle(Map<String, Target> event) {
@@ -174,11 +175,11 @@
 
         @Override
         public void tick() {
-            boolean cacheToo = polls++ % POLLS_PER_CACHE_READ == 0;
+            boolean includeCache = pollCount++ % POLLS_PER_CACHE_REQUEST == 0;
             targets.forEach((name, target) -> {
-                readLoad(name, target);
-                if (cacheToo && target.hasCache()) {
-                    readCache(name, target);
+                requestLoad(name, target);
+                if (includeCache && target.hasCache()) {
+                    requestCacheEvents(name, target);
                 }
             });
         }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLinks.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLinks.java
@@ -23,7 +23,7 @@
  */
 public final class SchedulerLinks implements PeerListener {
     private final EventRing ring;
-    private final Queue<PeerLink> unheardLosses = new ConcurrentLinkedQueue<>();
+    private final Queue<PeerLink> pendingLinkLosses = new ConcurrentLinkedQueue<>();
     private final Map<ProcessId, List<PeerLink>> entries = new HashMap<>();
     private final Map<ProcessId, List<PeerLink>> schedulers = new HashMap<>();
 
@@ -50,7 +50,7 @@
     public void linkDown(PeerLink link, String reason) {
         if (!ring.offer(loop -> loop.linkDown(link))) {
             // Were the loss itself lost, the slots of a dead home would stay taken for ever; the next tick looks here.
-            unheardLosses.add(link);
+            pendingLinkLosses.add(link);
         }
     }
 
@@ -64,7 +64,7 @@
     }
 
     Optional<PeerLink> pollPendingLinkLoss() {
-        return Optional.ofNullable(unheardLosses.poll());
+        return Optional.ofNullable(pendingLinkLosses.poll());
     }
 
     /** Adds a link; returns true when it is the first one of its process. */
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLog.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLog.java
@@ -15,7 +15,7 @@
 
 /** Log lines of the scheduler. */
 final class SchedulerLog {
-    private final Map<String, Integer> floors = new HashMap<>();
+    private final Map<String, Integer> loggedFloors = new HashMap<>();
 
     void sent(ProcessId home, Frame frame) {
         if (frame.hasRefusal()) {
@@ -34,14 +34,15 @@
         if (frame.hasFloorRaise()) {
             int rank = frame.getFloorRaise().getRank();
             String service = frame.getFloorRaise().getService();
-            if (!Integer.valueOf(rank).equals(floors.put(service, rank))) {
+            if (!Integer.valueOf(rank).equals(loggedFloors.put(service, rank))) {
                 EventLog.event(LogEvent.FLOOR_RAISED)
                         .with(EventField.SERVICE, service)
                         .with(EventField.FLOOR_RANK, rank)
                         .with(EventField.PEER, host)
                         .call();
             }
-        } else if (frame.hasFloorLower() && floors.remove(frame.getFloorLower().getService()) != null) {
+        } else if (frame.hasFloorLower()
+                && loggedFloors.remove(frame.getFloorLower().getService()) != null) {
             EventLog.event(LogEvent.FLOOR_LOWERED)
                     .with(EventField.SERVICE, frame.getFloorLower().getService())
                     .with(EventField.PEER, host)
@@ -51,18 +52,18 @@
 
     /** Logs what differs between two surveys. */
     void logChanges(List<SliceState> before, List<SliceState> after) {
-        Map<String, SliceState> old = new HashMap<>();
-        before.forEach(state -> old.put(name(state), state));
+        Map<String, SliceState> previousByName = new HashMap<>();
+        before.forEach(state -> previousByName.put(name(state), state));
         for (SliceState state : after) {
-            SliceState earlier = old.remove(name(state));
-            shareChanged(earlier, state);
-            targetsChanged(earlier, state);
+            SliceState previous = previousByName.remove(name(state));
+            shareChanged(previous, state);
+            targetsChanged(previous, state);
         }
-        old.forEach((name, state) -> lost(name, "no longer handled here"));
+        previousByName.forEach((name, state) -> lost(name, "no longer handled here"));
     }
 
-    private static void shareChanged(SliceState earlier, SliceState state) {
-        double before = earlier == null ? 0 : earlier.getShare();
+    private static void shareChanged(SliceState previous, SliceState state) {
+        double before = previous == null ? 0 : previous.getShare();
         if (before != state.getShare() && state.getShare() > 0) {
             EventLog.event(LogEvent.SLICE_OWNED)
                     .with(EventField.SLICE, name(state))
@@ -80,10 +81,10 @@
                 .call();
     }
 
-    private static void targetsChanged(SliceState earlier, SliceState state) {
+    private static void targetsChanged(SliceState previous, SliceState state) {
         Map<String, String> before = new HashMap<>();
-        if (earlier != null) {
-            earlier.getTargetsList().forEach(target -> before.put(target.getName(), target.getState()));
+        if (previous != null) {
+            previous.getTargetsList().forEach(target -> before.put(target.getName(), target.getState()));
         }
         for (TargetState target : state.getTargetsList()) {
             String from = before.getOrDefault(target.getName(), "unknown");
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLoop.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLoop.java
@@ -25,7 +25,7 @@
 
 /** Duty that decides: feeds the decisions with what happens and does what they say. Confined to its thread. */
 public final class SchedulerLoop {
-    private static final long SURVEY_MILLIS = 500;
+    private static final long SNAPSHOT_INTERVAL_MILLIS = 500;
 
     private final Node node;
     private final Ticker ticker;
@@ -35,11 +35,11 @@
     private final SchedulerSpans spans;
     private final SchedulerLog log = new SchedulerLog();
     private final SchedulerCore core;
-    private final Set<PeerAddress> connected = new HashSet<>();
-    private SchedulerConfiguration rules;
+    private final Set<PeerAddress> connectedPeers = new HashSet<>();
+    private SchedulerConfiguration configuration;
     private Membership membership;
     private CompletableFuture<Void> handedOver;
-    private long surveyedAtMillis;
+    private long lastSnapshotMillis;
     private volatile List<SliceState> states = List.of();
 
     /**
@@ -75,11 +75,11 @@
     /**
      * Takes in another document.
      *
-     * @param newRules what it says
+     * @param newConfiguration what it says
      */
-    public void documentChanged(SchedulerConfiguration newRules) {
-        rules = newRules;
-        view();
+    public void documentChanged(SchedulerConfiguration newConfiguration) {
+        configuration = newConfiguration;
+        applyConfiguration();
     }
 
     /**
@@ -89,7 +89,7 @@
      */
     public void membershipChanged(Membership newMembership) {
         membership = newMembership;
-        view();
+        applyConfiguration();
     }
 
     /**
@@ -110,9 +110,9 @@
             linkDown(lost.get());
         }
         handle(new SchedulerEvent.Tick());
-        if (ticker.nowMillis() - surveyedAtMillis >= SURVEY_MILLIS) {
-            surveyedAtMillis = ticker.nowMillis();
-            survey();
+        if (ticker.nowMillis() - lastSnapshotMillis >= SNAPSHOT_INTERVAL_MILLIS) {
+            lastSnapshotMillis = ticker.nowMillis();
+            updateSnapshot();
         }
         if (handedOver != null && core.isHandoverComplete(ticker.nowMillis())) {
             handedOver.complete(null);
@@ -150,11 +150,11 @@
 
     void handle(SchedulerEvent event) {
         for (SchedulerAction action : core.handle(event, ticker.nowMillis())) {
-            act(action);
+            perform(action);
         }
     }
 
-    private void act(SchedulerAction action) {
+    private void perform(SchedulerAction action) {
         if (action instanceof SchedulerAction.SendToEntry send) {
             log.sent(send.home(), send.frame());
             links.toEntry(send.home(), spans.endOnSend(send.home(), send.frame()));
@@ -166,24 +166,24 @@
         }
     }
 
-    private void view() {
-        if (rules != null && membership != null) {
-            handle(new SchedulerEvent.ConfigurationChanged(membership, rules));
-            survey();
+    private void applyConfiguration() {
+        if (configuration != null && membership != null) {
+            handle(new SchedulerEvent.ConfigurationChanged(membership, configuration));
+            updateSnapshot();
         }
     }
 
-    private void survey() {
+    private void updateSnapshot() {
         if (membership == null) {
             return;
         }
         long nowMillis = ticker.nowMillis();
         connect(core.requiredPeers(nowMillis));
         poller.updateTargets(targets());
-        List<SliceState> now = core.states(nowMillis);
-        log.logChanges(states, now);
-        states = now;
-        metrics.update(now);
+        List<SliceState> snapshot = core.states(nowMillis);
+        log.logChanges(states, snapshot);
+        states = snapshot;
+        metrics.update(snapshot);
     }
 
     private void connect(Set<String> hosts) {
@@ -199,16 +199,16 @@
                             host.getEntry().getSchedulerPeer())));
         }
         for (PeerAddress address : wanted) {
-            if (connected.add(address)) {
+            if (connectedPeers.add(address)) {
                 node.network().connect(address);
             }
         }
-        connected.removeIf(address -> {
-            boolean gone = !wanted.contains(address);
-            if (gone) {
+        connectedPeers.removeIf(address -> {
+            boolean obsolete = !wanted.contains(address);
+            if (obsolete) {
                 node.network().disconnect(address);
             }
-            return gone;
+            return obsolete;
         });
     }
 
@@ -218,8 +218,8 @@
             membership
                     .host(name)
                     .filter(Host::hasTarget)
-                    .ifPresent(host ->
-                            targets.put(name, LoadPoller.Target.of(host, rules, core.lastCacheEventNumber(name))));
+                    .ifPresent(host -> targets.put(
+                            name, LoadPoller.Target.of(host, configuration, core.lastCacheEventNumber(name))));
         }
         return targets;
     }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerMetrics.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerMetrics.java
@@ -19,11 +19,11 @@
     private static final String PREFIX = "whinwharf.scheduler.";
 
     private final MeterRegistry registry;
-    private final Map<String, Counter> counters = new HashMap<>();
-    private final MultiGauge waiting;
-    private final MultiGauge share;
-    private final MultiGauge limit;
-    private final MultiGauge inFlight;
+    private final Map<String, Counter> countersByName = new HashMap<>();
+    private final MultiGauge waitingGauge;
+    private final MultiGauge shareGauge;
+    private final MultiGauge limitGauge;
+    private final MultiGauge inFlightGauge;
 
     /**
      * Creates the metrics.
@@ -32,14 +32,15 @@
      */
     public SchedulerMetrics(MeterRegistry registry) {
         this.registry = registry;
-        waiting = gauge("waiting", "Requests that wait, by slice and tier rank");
-        share = gauge("share", "Share of the slice's capacity that this scheduler may use, from 0 to 1");
-        limit = gauge("target.limit", "Requests in flight that the target is believed to bear");
-        inFlight = gauge("target.in.flight", "Granted requests that have not ended, by target");
+        waitingGauge = gauge("waiting", "Requests that wait, by slice and tier rank");
+        shareGauge = gauge("share", "Share of the slice's capacity that this scheduler may use, from 0 to 1");
+        limitGauge = gauge("target.limit", "Requests in flight that the target is believed to bear");
+        inFlightGauge = gauge("target.in.flight", "Granted requests that have not ended, by target");
     }
 
-    void increment(SchedulerCounter measure, String label) {
-        counters.computeIfAbsent(measure + "/" + label, key -> newCounter(measure, label))
+    void increment(SchedulerCounter counter, String label) {
+        countersByName
+                .computeIfAbsent(counter + "/" + label, key -> newCounter(counter, label))
                 .increment();
     }
 
@@ -58,23 +59,23 @@
                     Integer.toString(state.getIndex()));
             shareRows.add(MultiGauge.Row.of(tags, state.getShare()));
             for (TierQueue queue : state.getQueuesList()) {
-                Tags tier = tags.and("tier_rank", Integer.toString(queue.getTierRank()));
-                waitingRows.add(MultiGauge.Row.of(tier, queue.getWaiting()));
+                Tags tierTags = tags.and("tier_rank", Integer.toString(queue.getTierRank()));
+                waitingRows.add(MultiGauge.Row.of(tierTags, queue.getWaiting()));
             }
             for (TargetState target : state.getTargetsList()) {
-                Tags one = Tags.of("target", target.getName());
-                limitRows.add(MultiGauge.Row.of(one, target.getLimit()));
-                inFlightRows.add(MultiGauge.Row.of(one, target.getInFlight()));
+                Tags targetTags = Tags.of("target", target.getName());
+                limitRows.add(MultiGauge.Row.of(targetTags, target.getLimit()));
+                inFlightRows.add(MultiGauge.Row.of(targetTags, target.getInFlight()));
             }
         }
-        waiting.register(waitingRows, true);
-        share.register(shareRows, true);
-        limit.register(limitRows, true);
-        inFlight.register(inFlightRows, true);
+        waitingGauge.register(waitingRows, true);
+        shareGauge.register(shareRows, true);
+        limitGauge.register(limitRows, true);
+        inFlightGauge.register(inFlightRows, true);
     }
 
-    private Counter newCounter(SchedulerCounter measure, String label) {
-        String name = measure.name().toLowerCase(Locale.ROOT).replace('_', '.');
+    private Counter newCounter(SchedulerCounter counter, String label) {
+        String name = counter.name().toLowerCase(Locale.ROOT).replace('_', '.');
         return Counter.builder(PREFIX + name).tag("label", label).register(registry);
     }
 
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerSpans.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerSpans.java
@@ -12,10 +12,10 @@
 
 /** Spans of requests while they wait here. Confined to the duty that decides. */
 final class SchedulerSpans {
-    private static final int MOST = 65_536;
+    private static final int MAX_WAITING_SPANS = 65_536;
 
     private final Node node;
-    private final Map<Key, Span> waiting = new HashMap<>();
+    private final Map<Key, Span> waitingSpans = new HashMap<>();
     private Tracer tracer;
 
     SchedulerSpans(Node node) {
@@ -23,15 +23,15 @@
     }
 
     void received(ProcessId home, Frame frame) {
-        if (frame.hasEnqueue() && !frame.getTraceParent().isEmpty() && waiting.size() < MOST) {
+        if (frame.hasEnqueue() && !frame.getTraceParent().isEmpty() && waitingSpans.size() < MAX_WAITING_SPANS) {
             Span span = tracer().spanBuilder("schedule")
                     .setParent(TraceParent.context(frame.getTraceParent()))
                     .setSpanKind(SpanKind.SERVER)
                     .setAttribute("tier_rank", frame.getEnqueue().getTierRank())
                     .startSpan();
-            Span earlier = waiting.put(new Key(home, frame.getEnqueue().getRequest()), span);
-            if (earlier != null) {
-                earlier.end();
+            Span previous = waitingSpans.put(new Key(home, frame.getEnqueue().getRequest()), span);
+            if (previous != null) {
+                previous.end();
             }
         } else if (frame.hasWithdraw()) {
             end(new Key(home, frame.getWithdraw().getRequest()), "withdrawn");
@@ -52,7 +52,7 @@
     }
 
     void lost(ProcessId home) {
-        waiting.entrySet().removeIf(entry -> {
+        waitingSpans.entrySet().removeIf(entry -> {
             boolean lost = entry.getKey().home().equals(home);
             if (lost) {
                 entry.getValue().end();
@@ -62,7 +62,7 @@
     }
 
     private Span end(Key key, String outcome) {
-        Span span = waiting.remove(key);
+        Span span = waitingSpans.remove(key);
         if (span != null) {
             span.setAttribute("outcome", outcome);
             span.end();
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SingleResponse.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SingleResponse.java
@@ -10,13 +10,13 @@
  * @param <T> type of the answer
  */
 final class SingleResponse<T> implements Subscriber<T> {
-    private final Consumer<T> answered;
-    private final Runnable failed;
+    private final Consumer<T> onResponse;
+    private final Runnable onFailure;
     private boolean done;
 
-    SingleResponse(Consumer<T> answered, Runnable failed) {
-        this.answered = answered;
-        this.failed = failed;
+    SingleResponse(Consumer<T> onResponse, Runnable onFailure) {
+        this.onResponse = onResponse;
+        this.onFailure = onFailure;
     }
 
     @Override
@@ -25,27 +25,27 @@
     }
 
     @Override
-    public void onNext(T answer) {
+    public void onNext(T response) {
         if (!done) {
             done = true;
-            answered.accept(answer);
+            onResponse.accept(response);
         }
     }
 
     @Override
-    public void onError(Throwable failure) {
-        fail();
+    public void onError(Throwable cause) {
+        completeWithFailure();
     }
 
     @Override
     public void onComplete() {
-        fail();
+        completeWithFailure();
     }
 
-    private void fail() {
+    private void completeWithFailure() {
         if (!done) {
             done = true;
-            failed.run();
+            onFailure.run();
         }
     }
 }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/Fixtures.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/Fixtures.java
@@ -41,7 +41,7 @@
                 arrivedAtMillis);
     }
 
-    static Document document(int most, int maxWaiting) {
+    static Document document(int maxLimit, int maxWaiting) {
         return Document.newBuilder()
                 .setGeneration(1)
                 .addDataCentres(DataCentre.newBuilder().setName("a").setRegion("r"))
@@ -52,7 +52,8 @@
                 .addServices(ServiceSpec.newBuilder()
                         .setName(SERVICE)
                         .setMaxWaiting(maxWaiting)
-                        .setLimits(Limits.newBuilder().setCold(1).setMost(most).setSlowFactor(2)))
+                        .setLimits(
+                                Limits.newBuilder().setCold(1).setMost(maxLimit).setSlowFactor(2)))
                 .setTiming(Timing.newBuilder()
                         .setGrantMillis(TIMINGS.grantMillis())
                         .setPledgeMillis(TIMINGS.pledgeMillis())
@@ -64,9 +65,9 @@
     }
 
     static Document outOfService(Document document) {
-        Document.Builder out = document.toBuilder().setGeneration(document.getGeneration() + 1);
-        out.getDataCentresBuilder(0).setInService(false);
-        return out.build();
+        Document.Builder changed = document.toBuilder().setGeneration(document.getGeneration() + 1);
+        changed.getDataCentresBuilder(0).setInService(false);
+        return changed.build();
     }
 
     /** Hosts whose names begin with b stand in data centre b, all others in data centre a. */
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/FleetModel.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/FleetModel.java
@@ -30,7 +30,7 @@
     private static final long TICK_MILLIS = 50;
     private static final long POLL_MILLIS = 250;
     private static final long DOWN_MILLIS = 2_000;
-    private static final int PARTS = 1_000_000;
+    private static final int PARTS_PER_MILLION = 1_000_000;
 
     private final Random random;
     private final Document document;
@@ -38,7 +38,7 @@
     private final List<Node> schedulers = new ArrayList<>();
     private final List<Home> homes = new ArrayList<>();
     private final Map<String, ModelTarget> targets = new HashMap<>();
-    private final Set<String> listed = new TreeSet<>();
+    private final Set<String> listedHosts = new TreeSet<>();
     private final Set<Set<String>> cut = new HashSet<>();
     private final Map<List<String>, Long> lastDelivery = new HashMap<>();
     private long nowMillis;
@@ -46,14 +46,14 @@
     private long revision;
     private int completed;
 
-    FleetModel(long seed, int most) {
+    FleetModel(long seed, int maxCapacity) {
         random = new Random(seed);
-        document = Fixtures.document(most, 50);
+        document = Fixtures.document(maxCapacity, 50);
         for (int i = 0; i < TARGETS; i++) {
-            targets.put("t" + i, new ModelTarget(most));
+            targets.put("t" + i, new ModelTarget(maxCapacity));
         }
         for (int i = 0; i < SCHEDULERS; i++) {
-            listed.add("s" + i);
+            listedHosts.add("s" + i);
             schedulers.add(new Node("s" + i));
         }
         for (int i = 0; i < HOMES; i++) {
@@ -71,8 +71,11 @@
         nowMillis = untilMillis;
     }
 
-    int worstOverload() {
-        return targets.values().stream().mapToInt(ModelTarget::worst).max().orElse(0);
+    int maxOverload() {
+        return targets.values().stream()
+                .mapToInt(ModelTarget::maxOverload)
+                .max()
+                .orElse(0);
     }
 
     int completed() {
@@ -108,13 +111,13 @@
         }
     }
 
-    void relist(int scheduler) {
+    void toggleListed(int scheduler) {
         String name = "s" + scheduler;
-        if (!listed.remove(name)) {
-            listed.add(name);
+        if (!listedHosts.remove(name)) {
+            listedHosts.add(name);
         }
-        if (listed.size() < SCHEDULERS - 1) {
-            listed.add(name);
+        if (listedHosts.size() < SCHEDULERS - 1) {
+            listedHosts.add(name);
         }
         publish();
     }
@@ -128,16 +131,16 @@
         ModelTarget target = targets.get("t" + index % TARGETS);
         if (!target.isDown()) {
             target.crash(nowMillis);
-            at(nowMillis + DOWN_MILLIS, () -> target.startAgain(nowMillis));
+            at(nowMillis + DOWN_MILLIS, () -> target.restart(nowMillis));
         }
     }
 
-    void loseHome(int index) {
-        homes.get(index % HOMES).lose();
+    void restartHome(int index) {
+        homes.get(index % HOMES).restart();
     }
 
     private void publish() {
-        Membership membership = Fixtures.membership(++revision, document, listed, List.of("t0", "t1"));
+        Membership membership = Fixtures.membership(++revision, document, listedHosts, List.of("t0", "t1"));
         for (Node node : schedulers) {
             at(nowMillis + random.nextInt((int) Fixtures.TIMINGS.listLagMillis()), () -> node.view(membership));
         }
@@ -192,14 +195,14 @@
         }
 
         long clock() {
-            return offsetMillis + nowMillis + nowMillis * ratePpm / PARTS;
+            return offsetMillis + nowMillis + nowMillis * ratePpm / PARTS_PER_MILLION;
         }
 
-        void awake(Runnable action) {
-            ProcessId then = id;
+        void runWhenAwake(Runnable action) {
+            ProcessId idAtStart = id;
             if (nowMillis < frozenUntilMillis) {
-                at(frozenUntilMillis + random.nextInt(5), () -> awake(action));
-            } else if (then.equals(id)) {
+                at(frozenUntilMillis + random.nextInt(5), () -> runWhenAwake(action));
+            } else if (idAtStart.equals(id)) {
                 action.run();
             }
         }
@@ -214,7 +217,7 @@
             core = new SchedulerCore(id, PlacementStrategy.SCORE, clock());
             at(random.nextInt((int) TICK_MILLIS), this::tick);
             at(random.nextInt((int) POLL_MILLIS), this::poll);
-            at(0, this::linkAll);
+            at(0, this::connectAll);
         }
 
         void restart() {
@@ -224,11 +227,11 @@
             if (membership != null) {
                 event(new SchedulerEvent.ConfigurationChanged(membership, SchedulerConfiguration.of(document)));
             }
-            linkAll();
+            connectAll();
         }
 
         void view(Membership newer) {
-            awake(() -> {
+            runWhenAwake(() -> {
                 if (membership == null || newer.revision() > membership.revision()) {
                     membership = newer;
                     event(new SchedulerEvent.ConfigurationChanged(newer, SchedulerConfiguration.of(document)));
@@ -250,14 +253,14 @@
 
         void event(SchedulerEvent event) {
             ProcessId to = id;
-            awake(() -> {
+            runWhenAwake(() -> {
                 if (to.equals(id)) {
-                    core.handle(event, clock()).forEach(this::act);
+                    core.handle(event, clock()).forEach(this::perform);
                 }
             });
         }
 
-        private void linkAll() {
+        private void connectAll() {
             schedulers.stream()
                     .filter(node -> node != this)
                     .forEach(node -> event(new SchedulerEvent.PeerConnected(node.id)));
@@ -270,19 +273,19 @@
 
         private void poll() {
             targets.forEach((target, model) -> {
-                long askedAtMillis = clock();
+                long requestedAtMillis = clock();
                 event(
                         model.isDown()
                                 ? new SchedulerEvent.LoadRequestFailed(target)
                                 : new SchedulerEvent.LoadReceived(
                                         target,
                                         model.load(random.nextInt((int) Fixtures.TIMINGS.loadLagMillis()), nowMillis),
-                                        askedAtMillis));
+                                        requestedAtMillis));
             });
             at(nowMillis + POLL_MILLIS, this::poll);
         }
 
-        private void act(SchedulerAction action) {
+        private void perform(SchedulerAction action) {
             if (action instanceof SchedulerAction.SendToPeer send) {
                 ProcessId from = id;
                 schedulers.stream()
@@ -291,7 +294,7 @@
                                 name, node.name, () -> node.event(new SchedulerEvent.PeerFrame(from, send.frame()))));
             } else if (action instanceof SchedulerAction.SendToEntry send && home(send.home()) != null) {
                 Home home = home(send.home());
-                deliver(name, home.name, () -> home.awake(() -> home.received(this, send.frame())));
+                deliver(name, home.name, () -> home.runWhenAwake(() -> home.received(this, send.frame())));
             }
         }
     }
@@ -303,25 +306,25 @@
         Home(String name) {
             super(name);
             at(random.nextInt(100), this::arrive);
-            at(random.nextInt(100), this::beat);
+            at(random.nextInt(100), this::sendHeartbeat);
         }
 
         /** Dies with its requests; what it had sent goes on at the targets. */
-        void lose() {
+        void restart() {
             ProcessId old = id;
             id = new ProcessId(name, old.incarnation() + 1);
             inFlight.clear();
             schedulers.forEach(node -> node.event(new SchedulerEvent.EntryDisconnected(old)));
         }
 
-        private void beat() {
-            awake(() -> schedulers.forEach(node -> send(
+        private void sendHeartbeat() {
+            runWhenAwake(() -> schedulers.forEach(node -> send(
                     node, Frame.newBuilder().setHeartbeat(Heartbeat.newBuilder().setSentAtMillis(clock())))));
-            at(nowMillis + 100, this::beat);
+            at(nowMillis + 100, this::sendHeartbeat);
         }
 
         private void arrive() {
-            awake(() -> enqueue(nextRequest++, random.nextInt(SCHEDULERS)));
+            runWhenAwake(() -> enqueue(nextRequest++, random.nextInt(SCHEDULERS)));
             at(nowMillis + 10 + random.nextInt(30), this::arrive);
         }
 
@@ -345,12 +348,12 @@
             switch (frame.getBodyCase()) {
                 case GRANT -> {
                     // Some homes use a grant only just before it runs out.
-                    long laterMillis = random.nextInt(3) == 0 ? random.nextInt(600) : 0;
-                    ProcessId then = id;
+                    long delayMillis = random.nextInt(3) == 0 ? random.nextInt(600) : 0;
+                    ProcessId idAtStart = id;
                     at(
-                            nowMillis + laterMillis,
-                            () -> awake(() -> {
-                                if (then.equals(id)) {
+                            nowMillis + delayMillis,
+                            () -> runWhenAwake(() -> {
+                                if (idAtStart.equals(id)) {
                                     granted(from, frame.getGrant());
                                 }
                             }));
@@ -363,11 +366,11 @@
         }
 
         private void refused(Refusal refusal) {
-            ProcessId then = id;
+            ProcessId idAtStart = id;
             at(
                     nowMillis + 100,
-                    () -> awake(() -> {
-                        if (then.equals(id)) {
+                    () -> runWhenAwake(() -> {
+                        if (idAtStart.equals(id)) {
                             enqueue(refusal.getRequest(), random.nextInt(SCHEDULERS));
                         }
                     }));
@@ -378,11 +381,11 @@
                 finished(from, grant, FinishKind.UNUSED, 0);
                 return;
             }
-            ProcessId then = id;
+            ProcessId idAtStart = id;
             long sentAtMillis = nowMillis;
             ModelTarget target = targets.get(grant.getTarget());
             Runnable failed = () -> {
-                if (then.equals(id)) {
+                if (idAtStart.equals(id)) {
                     inFlight.remove(grant.getRequest());
                     finished(from, grant, FinishKind.FAILED, nowMillis - sentAtMillis);
                 }
@@ -394,7 +397,7 @@
             inFlight.put(grant.getRequest(), grant.getTarget());
             long ranMillis = random.nextInt(10) == 0 ? 3_000 : 20 + random.nextInt(300);
             at(nowMillis + ranMillis, () -> {
-                if (target.end(failed, nowMillis) && then.equals(id)) {
+                if (target.end(failed, nowMillis) && idAtStart.equals(id)) {
                     completed++;
                     inFlight.remove(grant.getRequest());
                     finished(from, grant, FinishKind.COMPLETED, ranMillis);
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/ModelTarget.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/ModelTarget.java
@@ -7,18 +7,18 @@
 
 /** Target of the model: bears one request when it has started, and one more with each that it completes. */
 final class ModelTarget {
-    private final int most;
-    private final TreeMap<Long, Integer> history = new TreeMap<>();
+    private final int maxCapacity;
+    private final TreeMap<Long, Integer> runningByTime = new TreeMap<>();
     private final List<Runnable> running = new ArrayList<>();
     private long startNumber = 1;
     private long startedAtMillis;
-    private int bears = 1;
-    private int worst;
+    private int capacity = 1;
+    private int maxOverload;
     private boolean down;
 
-    ModelTarget(int most) {
-        this.most = most;
-        history.put(0L, 0);
+    ModelTarget(int maxCapacity) {
+        this.maxCapacity = maxCapacity;
+        runningByTime.put(0L, 0);
     }
 
     /** Starts a request; returns false when the target is down. */
@@ -27,8 +27,8 @@
             return false;
         }
         running.add(failed);
-        worst = Math.max(worst, running.size() - bears);
-        history.put(nowMillis, running.size());
+        maxOverload = Math.max(maxOverload, running.size() - capacity);
+        runningByTime.put(nowMillis, running.size());
         return true;
     }
 
@@ -36,8 +36,8 @@
     boolean end(Runnable failed, long nowMillis) {
         boolean ran = running.remove(failed);
         if (ran) {
-            bears = Math.min(most, bears + 1);
-            history.put(nowMillis, running.size());
+            capacity = Math.min(maxCapacity, capacity + 1);
+            runningByTime.put(nowMillis, running.size());
         }
         return ran;
     }
@@ -46,13 +46,13 @@
         down = true;
         List<Runnable> lost = List.copyOf(running);
         running.clear();
-        history.put(nowMillis, 0);
+        runningByTime.put(nowMillis, 0);
         lost.forEach(Runnable::run);
     }
 
-    void startAgain(long nowMillis) {
+    void restart(long nowMillis) {
         down = false;
-        bears = 1;
+        capacity = 1;
         startNumber++;
         startedAtMillis = nowMillis;
     }
@@ -61,16 +61,16 @@
         return down;
     }
 
-    int worst() {
-        return worst;
+    int maxOverload() {
+        return maxOverload;
     }
 
     TargetLoad load(long ageMillis, long nowMillis) {
-        long atMillis = Math.max(startedAtMillis, nowMillis - ageMillis);
+        long measuredAtMillis = Math.max(startedAtMillis, nowMillis - ageMillis);
         return TargetLoad.newBuilder()
                 .setStartNumber(startNumber)
-                .setRunning(history.floorEntry(atMillis).getValue())
-                .setAgeMillis(nowMillis - atMillis)
+                .setRunning(runningByTime.floorEntry(measuredAtMillis).getValue())
+                .setAgeMillis(nowMillis - measuredAtMillis)
                 .build();
     }
 }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/OverloadTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/OverloadTest.java
@@ -24,23 +24,23 @@
     // it
     // bears.
     @Property(seed = "20261203", tries = 60, edgeCases = EdgeCasesMode.NONE)
-    void noTargetGetsMoreThanItBears(
-            @ForAll long seed, @ForAll("limits") int most, @ForAll("faults") List<Fault> faults) {
-        FleetModel fleet = new FleetModel(seed, most);
+    void noTargetIsOverloaded(
+            @ForAll long seed, @ForAll("limits") int maxCapacity, @ForAll("faults") List<Fault> faults) {
+        FleetModel fleet = new FleetModel(seed, maxCapacity);
         long nowMillis = WARM_UP_MILLIS;
         fleet.runUntil(nowMillis);
         for (Fault fault : faults) {
-            fault.kind().strike(fleet, fault);
+            fault.kind().inject(fleet, fault);
             nowMillis += fault.gapMillis();
             fleet.runUntil(nowMillis);
         }
         fleet.runUntil(nowMillis + SETTLE_MILLIS);
-        assertThat(fleet.worstOverload(), is(0));
+        assertThat(fleet.maxOverload(), is(0));
     }
 
     // Without this the property above could hold because nothing is ever granted.
     @Example
-    void quietFleetServesMostOfWhatComes() {
+    void fleetWithoutFaultsServesMostRequests() {
         FleetModel fleet = new FleetModel(1, 16);
         fleet.runUntil(20_000);
         assertThat(fleet.completed(), greaterThan(600));
@@ -68,53 +68,53 @@
     enum Kind {
         RESTART {
             @Override
-            void strike(FleetModel fleet, Fault fault) {
+            void inject(FleetModel fleet, Fault fault) {
                 fleet.restart(fault.scheduler());
             }
         },
         FREEZE {
             @Override
-            void strike(FleetModel fleet, Fault fault) {
+            void inject(FleetModel fleet, Fault fault) {
                 fleet.freeze(fault.other(), fault.lengthMillis());
             }
         },
         CUT {
             @Override
-            void strike(FleetModel fleet, Fault fault) {
+            void inject(FleetModel fleet, Fault fault) {
                 fleet.cut(fault.scheduler(), fault.other(), fault.lengthMillis());
             }
         },
         ISOLATE {
             @Override
-            void strike(FleetModel fleet, Fault fault) {
+            void inject(FleetModel fleet, Fault fault) {
                 fleet.isolate(fault.scheduler(), fault.lengthMillis());
             }
         },
         RELIST {
             @Override
-            void strike(FleetModel fleet, Fault fault) {
-                fleet.relist(fault.scheduler());
+            void inject(FleetModel fleet, Fault fault) {
+                fleet.toggleListed(fault.scheduler());
             }
         },
         LEAVE {
             @Override
-            void strike(FleetModel fleet, Fault fault) {
+            void inject(FleetModel fleet, Fault fault) {
                 fleet.leave(fault.scheduler());
             }
         },
         CRASH_TARGET {
             @Override
-            void strike(FleetModel fleet, Fault fault) {
+            void inject(FleetModel fleet, Fault fault) {
                 fleet.crashTarget(fault.other());
             }
         },
         LOSE_HOME {
             @Override
-            void strike(FleetModel fleet, Fault fault) {
-                fleet.loseHome(fault.other());
+            void inject(FleetModel fleet, Fault fault) {
+                fleet.restartHome(fault.other());
             }
         };
 
-        abstract void strike(FleetModel fleet, Fault fault);
+        abstract void inject(FleetModel fleet, Fault fault);
     }
 }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/QueueOrderTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/QueueOrderTest.java
@@ -15,7 +15,7 @@
     private final SliceQueue queue = new SliceQueue();
 
     @Test
-    void higherTierIsServedFirstHoweverLateItCame() {
+    void higherTierIsServedFirstRegardlessOfArrival() {
         queue.add(Fixtures.waiting(1, 0, "o", 10, 0));
         queue.add(Fixtures.waiting(2, 2, "o", 1000, 500));
         queue.add(Fixtures.waiting(3, 1, "p", 10, 100));
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void shortAnswersDoNotWaitForALongOneThatCameBefore() {
+    void shortAnswersOvertakeALongOneThatArrivedBefore() {
         queue.add(Fixtures.waiting(1, 0, "o", 5000, 0));
         for (long request = 2; request <= 101; request++) {
             queue.add(Fixtures.waiting(request, 0, "o", 20, request));
@@ -36,31 +36,31 @@
     @Test
     void longAnswerIsOvertakenForABoundedTimeOnly() {
         queue.add(Fixtures.waiting(1, 0, "o", 1000, 0));
-        long turn = 0;
+        long servedAtMillis = 0;
         for (long nowMillis = 0; queue.size() == 1 || serve(1).get(0).request() != 1; nowMillis += 100) {
             queue.add(Fixtures.waiting(nowMillis + 2, 0, "o", 20, nowMillis));
             queue.add(Fixtures.waiting(nowMillis + 3, 0, "o", 20, nowMillis));
-            turn = nowMillis;
+            servedAtMillis = nowMillis;
         }
-        assertThat(turn, lessThan(12_000L));
+        assertThat(servedAtMillis, lessThan(12_000L));
     }
 
     // A short answer comes while many long ones of its tier wait. Were its wait predicted as if all of them went first,
     // it would be refused as hopeless although it is served among the next.
     @Test
-    void shortRequestIsPredictedToWaitOnlyForWhatGoesBeforeIt() {
+    void predictedCostCountsOnlyRequestsServedBefore() {
         for (long request = 1; request <= 50; request++) {
             queue.add(Fixtures.waiting(request, 1, "long", 1000, request));
         }
         queue.add(Fixtures.waiting(60, 2, "above", 300, 60));
         queue.add(Fixtures.waiting(61, 0, "below", 700, 61));
-        WaitingRequest shortOne = Fixtures.waiting(70, 1, "short", 20, 70);
-        long others = Math.max(shortOne.cost(), 0);
-        assertThat(queue.costBefore(shortOne), is(queue.costAhead(2) + others));
+        WaitingRequest shortRequest = Fixtures.waiting(70, 1, "short", 20, 70);
+        long fairShareOfOther = Math.max(shortRequest.cost(), 0);
+        assertThat(queue.costBefore(shortRequest), is(queue.costAhead(2) + fairShareOfOther));
     }
 
     @Test
-    void organisationsShareByCostNotByCount() {
+    void organisationsShareByCostNotByRequestCount() {
         for (long request = 0; request < 400; request++) {
             queue.add(Fixtures.waiting(request, 0, "long", 984, request));
             queue.add(Fixtures.waiting(1000 + request, 0, "short", 84, request));
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void organisationThatWasIdleCannotSaveUpItsShare() {
+    void idleOrganisationAccumulatesNoCredit() {
         for (long request = 0; request < 100; request++) {
             queue.add(Fixtures.waiting(request, 0, "busy", 84, request));
         }
@@ -86,10 +86,10 @@
         for (long request = 200; request < 300; request++) {
             queue.add(Fixtures.waiting(request, 0, "late", 84, request));
         }
-        long late = serve(20).stream()
+        long lateCount = serve(20).stream()
                 .filter(waiting -> waiting.organisation().equals("late"))
                 .count();
-        assertThat((double) late, closeTo(10, 1));
+        assertThat((double) lateCount, closeTo(10, 1));
     }
 
     @Test
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/SchedulerCoreTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/SchedulerCoreTest.java
@@ -38,7 +38,7 @@
 
     private final SchedulerCore core = new SchedulerCore(new ProcessId("s0", 5), PlacementStrategy.SCORE, 0);
     private final List<SchedulerAction> actions = new ArrayList<>();
-    private final Set<Grant> given = new LinkedHashSet<>();
+    private final Set<Grant> receivedGrants = new LinkedHashSet<>();
     private Document document = Fixtures.document(4, MAX_WAITING);
     private List<String> hosts = List.of("s0");
     private List<String> targets = List.of("t0");
@@ -47,14 +47,14 @@
     private int running;
 
     @BeforeEach
-    void own() {
-        view();
-        pass(6_000);
+    void becomeOwner() {
+        changeConfiguration();
+        advance(6_000);
     }
 
     @Test
-    void grantCarriesTheHomesClockAndRunsOut() {
-        on(new SchedulerEvent.EntryFrame(
+    void grantCarriesTheHomesClockAndItsValidity() {
+        handle(new SchedulerEvent.EntryFrame(
                 HOME,
                 Frame.newBuilder()
                         .setHeartbeat(Heartbeat.newBuilder().setSentAtMillis(123_456))
@@ -71,48 +71,48 @@
     // filled
     // up to the limit of the target that was there before.
     @Test
-    void failureAtTheTargetStopsGrantsUntilALaterReadingAndANewStartIsCold() {
+    void failureStopsGrantsUntilALaterReadingAndARestartedTargetIsCold() {
         enqueue(1, 0);
         finish(grants().get(0), FinishKind.FAILED);
         enqueue(2, 0);
         assertThat(grants(), hasSize(1));
         nowMillis++;
-        load(2);
+        reportLoad(2);
         assertThat(grants(), hasSize(2));
     }
 
     // The host of a home dies with a request in flight at an engine that bears one. The engine works on for nobody; a
     // second request would be too much for it.
     @Test
-    void slotOfALostHomeIsKeptUntilAReadingShowsItFree() {
+    void slotOfADisconnectedHomeIsTakenUntilAReadingShowsItFree() {
         enqueue(1, 0);
         running = 1;
-        on(new SchedulerEvent.EntryDisconnected(HOME));
-        pass(3_000);
+        handle(new SchedulerEvent.EntryDisconnected(HOME));
+        advance(3_000);
         enqueue(2, 0);
         assertThat(grants(), hasSize(1));
         running = 0;
-        pass(500);
+        advance(500);
         assertThat(grants(), hasSize(2));
     }
 
     @Test
-    void dataCentreOutRecallsUnusedGrantsRefusesWhatWaitsAndReturnsCold() {
+    void dataCentreOutOfServiceRecallsGrantsRefusesRequestsAndReturnsCold() {
         growTo(4);
         enqueue(100, 0);
         enqueue(101, 1);
         document = Fixtures.outOfService(document);
-        view();
+        changeConfiguration();
         assertThat(sent(Frame::hasRecall), hasSize(2));
         enqueue(102, 2);
         assertThat(refusals(102), contains(RefusalReason.NO_TARGET));
         document = Fixtures.document(4, MAX_WAITING);
-        view();
-        pass(6_000);
+        changeConfiguration();
+        advance(6_000);
         actions.clear();
         finishUnused(100);
         finishUnused(101);
-        pass(TICK_MILLIS);
+        advance(TICK_MILLIS);
         enqueue(103, 0);
         enqueue(104, 0);
         assertThat(grants(), hasSize(1));
@@ -120,7 +120,7 @@
 
     // A request whose deadline cannot be met would be prefilled for nothing and delay those that can be served.
     @Test
-    void hopelessRequestIsRefusedAtOnceWithATimeToComeBack() {
+    void requestThatCannotMeetItsDeadlineIsRefusedWithARetryAfterDelay() {
         growTo(2);
         actions.clear();
         enqueue(Enqueue.newBuilder().setRequest(50).setAnswerTokens(10_000).setLeftMillis(1_000));
@@ -131,7 +131,7 @@
     // The prediction of the wait is wrong at times. An inspector was told that the deadline could not be met while a
     // long summary of a lower tier, which waited all the time, got the next place.
     @Test
-    void requestIsNotGivenUpByAPredictedWaitWhileALowerTierWaits() {
+    void predictedWaitDoesNotRefuseARequestWhileALowerTierWaits() {
         enqueue(1, 0);
         finish(grants().get(0), FinishKind.COMPLETED);
         for (long request = 60; request < 62; request++) {
@@ -165,14 +165,14 @@
     // Requests that have just arrived show as queued for a moment. The owner believed each such reading, and held its
     // engines at half of what they bear while callers of lower tiers were turned away.
     @Test
-    void singleReadingOfAQueueDoesNotLowerTheLimitButALastingOneDoes() {
+    void onlySuccessiveReadingsOfAQueueLowerTheLimit() {
         growTo(4);
         int before = core.states(nowMillis).get(0).getTargets(0).getLimit();
-        readQueued(1, 1);
+        reportQueue(1, 1);
         assertThat(core.states(nowMillis).get(0).getTargets(0).getLimit(), is(before));
         for (int i = 0; i < 4; i++) {
             nowMillis += 250;
-            readQueued(2, 1);
+            reportQueue(2, 1);
         }
         assertThat(core.states(nowMillis).get(0).getTargets(0).getLimit(), is(2));
     }
@@ -181,12 +181,12 @@
     // that
     // the target has recovered. Callers would be turned away for ever.
     @Test
-    void targetThatWasSlowOnceIsTriedAgain() {
+    void targetThatWasSlowOnceReceivesRequestsAgain() {
         enqueue(1, 0);
         finish(grants().get(0), FinishKind.COMPLETED, 20_000);
         enqueue(2, 0);
         assertThat(refusals(2), contains(RefusalReason.HOPELESS));
-        pass(11_000);
+        advance(11_000);
         enqueue(3, 0);
         assertThat(grants().get(grants().size() - 1).getRequest(), is(3L));
     }
@@ -194,10 +194,10 @@
     // Operators lower the bound of a service whose engines are overloaded, and nothing happens at targets that are in
     // use.
     @Test
-    void lowerBoundOfANewDocumentHoldsForTargetsThatAreKnown() {
+    void lowerMaximumOfANewDocumentAppliesToKnownTargets() {
         growTo(4);
         document = Fixtures.document(2, MAX_WAITING);
-        view();
+        changeConfiguration();
         for (long request = 1; request <= 4; request++) {
             enqueue(request, 0);
         }
@@ -211,21 +211,21 @@
             enqueue(request, 0);
         }
         enqueue(6, 2);
-        assertThat(refused(), hasSize(1));
-        assertThat(refused().get(0).getReason(), is(RefusalReason.SHED));
-        assertThat(refused().get(0).getRequest(), is(not(6L)));
+        assertThat(allRefusals(), hasSize(1));
+        assertThat(allRefusals().get(0).getReason(), is(RefusalReason.SHED));
+        assertThat(allRefusals().get(0).getRequest(), is(not(6L)));
     }
 
     // Two owners of one service: this one is full of the highest tier while the other still keeps a low one. Shedding
     // here
     // would turn a ranger away while a tourist's request waits elsewhere.
     @Test
-    void higherTierIsShedOnlyAfterTheOtherOwnersHaveClearedWhatWaitsBelow() {
+    void higherTierIsShedOnlyAfterOtherOwnersHaveClearedLowerTiers() {
         hosts = List.of("s0", "b0");
         targets = List.of("t0", "b-t1");
-        view();
-        on(new SchedulerEvent.PeerConnected(PEER));
-        pass(8_000);
+        changeConfiguration();
+        handle(new SchedulerEvent.PeerConnected(PEER));
+        advance(8_000);
         actions.clear();
         for (long request = 1; request <= MAX_WAITING + 2; request++) {
             enqueue(request, 2);
@@ -238,14 +238,14 @@
                 .findFirst()
                 .orElseThrow();
         assertThat(raise.getRank(), is(2));
-        assertThat(refused(), is(empty()));
+        assertThat(allRefusals(), is(empty()));
         fromPeer(Frame.newBuilder()
                 .setFloorCleared(FloorCleared.newBuilder()
                         .setService(Fixtures.SERVICE)
                         .setRank(2)
                         .setFloor(raise.getFloor())));
-        assertThat(refused().size(), greaterThan(0));
-        pass(3_000);
+        assertThat(allRefusals().size(), greaterThan(0));
+        advance(3_000);
         assertThat(
                 actions.stream()
                         .anyMatch(action -> action instanceof SchedulerAction.SendToPeer send
@@ -254,7 +254,7 @@
     }
 
     @Test
-    void floorOfAnotherOwnerEvictsAndRefusesWhatIsBelowUntilItRunsOut() {
+    void floorOfAnotherOwnerEvictsAndRefusesLowerTiersUntilItExpires() {
         enqueue(1, 0);
         enqueue(2, 1);
         enqueue(3, 2);
@@ -265,8 +265,10 @@
                         .setRank(2)
                         .setGoodMillis(1_000)
                         .setFloor(1)));
-        assertThat(refused().stream().map(Refusal::getReason).distinct().toList(), contains(RefusalReason.BELOW_FLOOR));
-        assertThat(refused(), hasSize(2));
+        assertThat(
+                allRefusals().stream().map(Refusal::getReason).distinct().toList(),
+                contains(RefusalReason.BELOW_FLOOR));
+        assertThat(allRefusals(), hasSize(2));
         assertThat(
                 actions.stream()
                         .anyMatch(action -> action instanceof SchedulerAction.SendToPeer send
@@ -274,7 +276,7 @@
                 is(true));
         enqueue(5, 1);
         assertThat(refusals(5), contains(RefusalReason.BELOW_FLOOR));
-        pass(1_100);
+        advance(1_100);
         enqueue(6, 1);
         assertThat(refusals(6), is(empty()));
     }
@@ -283,10 +285,10 @@
     // has
     // begun.
     @Test
-    void plannedStopRefusesWhatWaitsAndReleasesPledgesOnceNoGrantIsUnused() {
+    void plannedStopRefusesWaitingRequestsAndReleasesPledgesOnceNoGrantIsUnused() {
         enqueue(1, 0);
         enqueue(2, 0);
-        on(new SchedulerEvent.Leave());
+        handle(new SchedulerEvent.Leave());
         assertThat(refusals(2), hasItem(RefusalReason.OWNER_LEAVING));
         assertThat(sent(Frame::hasRecall), hasSize(1));
         assertThat(core.isHandoverComplete(nowMillis), is(false));
@@ -296,13 +298,13 @@
 
     // The process sleeps for longer than its pledges last; another owner has taken over when it wakes.
     @Test
-    void ownerThatWakesAfterASleepGrantsNothingBeforeListsMustAgreeAgain() {
+    void ownerGrantsNothingAfterAPauseUntilListsMustAgreeAgain() {
         nowMillis += 10_000;
         enqueue(1, 0);
         assertThat(grants(), is(empty()));
-        pass(1_500);
+        advance(1_500);
         assertThat(grants(), is(empty()));
-        pass(1_500);
+        advance(1_500);
         assertThat(grants(), hasSize(1));
     }
 
@@ -310,28 +312,28 @@
     // homes
     // turn to other slices, and without anybody asking it must not give up just before it can grant.
     @Test
-    void laterCandidateTakesOverAndKeepsTheSliceUntilTheFirstCanBeReached() {
+    void laterCandidateKeepsTheSliceUntilTheFirstIsReachable() {
         hosts = List.of("s0", "a1", "a3", "a4");
-        view();
+        changeConfiguration();
         String first = Fixtures.membership(1, document, hosts, targets)
                 .candidates(Fixtures.SLICE)
                 .get(0)
                 .getName();
         assertThat(first, is(not("s0")));
-        pass(6_000);
+        advance(6_000);
         actions.clear();
         enqueue(1, 0);
-        pass(7_000);
-        pass(7_000);
-        assertThat(pledgesAsked(), is(true));
-        on(new SchedulerEvent.PeerConnected(new ProcessId(first, 1)));
+        advance(7_000);
+        advance(7_000);
+        assertThat(requestsPledges(), is(true));
+        handle(new SchedulerEvent.PeerConnected(new ProcessId(first, 1)));
         enqueue(2, 0);
         assertThat(refusals(2), contains(RefusalReason.NOT_OWNER));
     }
 
-    private boolean pledgesAsked() {
+    private boolean requestsPledges() {
         actions.clear();
-        pass(1_000);
+        advance(1_000);
         return actions.stream()
                 .anyMatch(action -> action instanceof SchedulerAction.SendToPeer send
                         && send.frame().hasPledgeRequest());
@@ -349,39 +351,39 @@
         }
     }
 
-    private void view() {
-        on(new SchedulerEvent.ConfigurationChanged(
+    private void changeConfiguration() {
+        handle(new SchedulerEvent.ConfigurationChanged(
                 Fixtures.membership(++revision, document, hosts, targets), SchedulerConfiguration.of(document)));
     }
 
-    private void on(SchedulerEvent event) {
+    private void handle(SchedulerEvent event) {
         actions.addAll(core.handle(event, nowMillis));
-        given.addAll(grants());
+        receivedGrants.addAll(grants());
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         for (long untilMillis = nowMillis + millis; nowMillis < untilMillis; ) {
             nowMillis += TICK_MILLIS;
-            load(1);
-            on(new SchedulerEvent.Tick());
+            reportLoad(1);
+            handle(new SchedulerEvent.Tick());
         }
     }
 
-    private void load(long startNumber) {
+    private void reportLoad(long startNumber) {
         TargetLoad load = TargetLoad.newBuilder()
                 .setStartNumber(startNumber)
                 .setRunning(running)
                 .build();
-        targets.forEach(target -> on(new SchedulerEvent.LoadReceived(target, load, nowMillis)));
+        targets.forEach(target -> handle(new SchedulerEvent.LoadReceived(target, load, nowMillis)));
     }
 
-    private void readQueued(int running, int queued) {
+    private void reportQueue(int running, int queued) {
         TargetLoad load = TargetLoad.newBuilder()
                 .setStartNumber(1)
                 .setRunning(running)
                 .setQueued(queued)
                 .build();
-        targets.forEach(target -> on(new SchedulerEvent.LoadReceived(target, load, nowMillis)));
+        targets.forEach(target -> handle(new SchedulerEvent.LoadReceived(target, load, nowMillis)));
     }
 
     private void enqueue(long request, int rank) {
@@ -394,12 +396,12 @@
 
     private void enqueue(Enqueue.Builder enqueue) {
         enqueue.setSlice(Fixtures.SLICE).setOrganisation("o").setWeight(1);
-        on(new SchedulerEvent.EntryFrame(
+        handle(new SchedulerEvent.EntryFrame(
                 HOME, Frame.newBuilder().setEnqueue(enqueue).build()));
     }
 
     private void finishUnused(long request) {
-        given.stream()
+        receivedGrants.stream()
                 .filter(grant -> grant.getRequest() == request)
                 .forEach(grant -> finish(grant, FinishKind.UNUSED));
     }
@@ -409,7 +411,7 @@
     }
 
     private void finish(Grant grant, FinishKind kind, long totalMillis) {
-        on(finishedEvent(Finished.newBuilder()
+        handle(finishedEvent(Finished.newBuilder()
                 .setRequest(grant.getRequest())
                 .setGrant(grant.getGrant())
                 .setTarget(grant.getTarget())
@@ -428,26 +430,26 @@
     }
 
     private void fromPeer(Frame.Builder frame) {
-        on(new SchedulerEvent.PeerFrame(PEER, frame.build()));
+        handle(new SchedulerEvent.PeerFrame(PEER, frame.build()));
     }
 
     private List<Grant> grants() {
         return sent(Frame::hasGrant).stream().map(Frame::getGrant).toList();
     }
 
-    private List<Refusal> refused() {
+    private List<Refusal> allRefusals() {
         return sent(Frame::hasRefusal).stream().map(Frame::getRefusal).toList();
     }
 
     private Refusal refusal(long request) {
-        return refused().stream()
+        return allRefusals().stream()
                 .filter(refusal -> refusal.getRequest() == request)
                 .findFirst()
                 .orElseThrow();
     }
 
     private List<RefusalReason> refusals(long request) {
-        return refused().stream()
+        return allRefusals().stream()
                 .filter(refusal -> refusal.getRequest() == request)
                 .map(Refusal::getReason)
                 .toList();
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/limit/ConcurrencyLimitTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/limit/ConcurrencyLimitTest.java
@@ -13,7 +13,7 @@
             Limits.newBuilder().setCold(1).setMost(32).setSlowFactor(2).build());
 
     @Test
-    void growsByCompletionsOnlyWhileItIsUsedUp() {
+    void growsByCompletionsOnlyAtTheLimit() {
         complete(10, 100, false);
         assertThat(limit.value(), is(1));
         complete(10, 100, true);
@@ -22,7 +22,7 @@
 
     // An engine that is past its best serves everybody slowly; the owner must not wait until it refuses.
     @Test
-    void stepsBackWhenServiceTimeExceedsTheBestSeen() {
+    void decreasesWhenServiceTimeExceedsTheBestObserved() {
         complete(31, 100, true);
         int before = limit.value();
         complete(60, 300, true);
@@ -33,7 +33,7 @@
     // The limit had grown beyond what the engine runs at once, since long answers hide a wait at the engine. A short
     // request of the highest tier waited there behind them until its deadline had passed.
     @Test
-    void fallsToWhatTheTargetRunsWhenRequestsWaitThere() {
+    void fallsToTheRunningRequestsWhenOthersAreQueuedAtTheTarget() {
         complete(15, 100, true);
         limit.onQueued(4);
         assertThat(limit.value(), is(4));
@@ -50,22 +50,22 @@
 
     // A target lost its caches and weights without a new start number: each answer takes many times longer at once.
     @Test
-    void fallsToColdOnASuddenStepOfServiceTime() {
+    void resetsToColdOnASuddenIncreaseOfServiceTime() {
         complete(15, 100, true);
         complete(2, 1000, true);
         assertThat(limit.value(), is(1));
     }
 
     @Test
-    void growsAgainWhenATargetIsSlowerForGood() {
+    void growsAgainWhenATargetIsPermanentlySlower() {
         complete(31, 100, true);
         complete(2000, 250, true);
         assertThat(limit.value(), greaterThan(4));
     }
 
-    private void complete(int times, long totalMillis, boolean wasFull) {
+    private void complete(int times, long totalMillis, boolean limitReached) {
         for (int i = 0; i < times; i++) {
-            limit.onCompleted(new CompletionSample(10, totalMillis, 0, 0, 20), wasFull);
+            limit.onCompleted(new CompletionSample(10, totalMillis, 0, 0, 20), limitReached);
         }
     }
 }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/placement/PlacementStrategyTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/placement/PlacementStrategyTest.java
@@ -23,14 +23,14 @@
     private final PlacementState state = new PlacementState(1);
 
     @Test
-    void longAnswerGoesToTheFasterGeneration() {
+    void longAnswerGoesToTheFasterTarget() {
         learn(one, 40);
         learn(other, 10);
         assertThat(score(waiting(0, 1000)), is("other"));
     }
 
     @Test
-    void promptGoesWhereItsPrefixIsCachedUnlessTheAnswerIsLong() {
+    void promptGoesToTheTargetWithItsPrefixUnlessTheAnswerIsLong() {
         learn(one, 12);
         learn(other, 10);
         one.prefixes().addServed(prefixes());
@@ -42,23 +42,23 @@
     // lost.
     @Test
     void servedPromptCountsAsCachedWithoutItsEventsAndDroppedBlocksDoNot() {
-        CachedPrefixes digests = one.prefixes();
-        digests.addServed(prefixes());
-        digests.applyEvents(CacheEvents.newBuilder()
+        CachedPrefixes cached = one.prefixes();
+        cached.addServed(prefixes());
+        cached.applyEvents(CacheEvents.newBuilder()
                 .addEvents(CacheEvent.newBuilder().setNumber(900).setDigest("not hexadecimal"))
                 .addEvents(CacheEvent.newBuilder().setNumber(907).setDigest(String.format("%016x", 3)))
                 .build());
-        assertThat(digests.lastEventNumber(), is(907L));
+        assertThat(cached.lastEventNumber(), is(907L));
         int prompt = PREFIXES * CachedPrefixes.BLOCK_TOKENS;
-        assertThat(digests.uncachedTokens(prefixes(), prompt), is(prompt - 2 * CachedPrefixes.BLOCK_TOKENS));
+        assertThat(cached.uncachedTokens(prefixes(), prompt), is(prompt - 2 * CachedPrefixes.BLOCK_TOKENS));
     }
 
     @Test
-    void targetThatStartedAnewHasNothingCached() {
-        CachedPrefixes digests = one.prefixes();
-        digests.addServed(prefixes());
-        digests.applyEvents(CacheEvents.newBuilder().setStartNumber(2).build());
-        assertThat(digests.uncachedTokens(prefixes(), 100), is(100));
+    void restartedTargetHasNoCachedPrefix() {
+        CachedPrefixes cached = one.prefixes();
+        cached.addServed(prefixes());
+        cached.applyEvents(CacheEvents.newBuilder().setStartNumber(2).build());
+        assertThat(cached.uncachedTokens(prefixes(), 100), is(100));
     }
 
     private String score(WaitingRequest waiting) {
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/pledge/HeldPledgesTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/pledge/HeldPledgesTest.java
@@ -24,16 +24,16 @@
             SliceId.newBuilder().setService("llm").setDataCentre("a").build();
     private static final List<String> OLD = List.of("h1", "h2", "h3");
     private static final List<String> NEW = List.of("h3", "h4", "h5");
-    private static final long LONG_QUIET_MILLIS = 60_000;
+    private static final long LONG_UNHELD_MILLIS = 60_000;
     private static final long SETTLED_MILLIS = 100_000;
 
     // Two of three hosts are replaced. One owner has not heard of it and has a majority among the old hosts, the other
     // one
     // has a majority among the new ones; an engine would get twice what it bears.
     @Property(seed = "20261203", tries = 100)
-    void ownersWithDifferentListsStayWithinTheLimitTogether(
+    void ownersWithDifferentListsTogetherStayWithinTheLimit(
             @ForAll @IntRange(min = 1, max = 64) int limit, @ForAll boolean shared) {
-        HeldPledges late = book(OLD);
+        HeldPledges late = heldPledges(OLD);
         pledge(late, SETTLED_MILLIS, "h1", "h2");
         MembershipViews views = views(OLD);
         views.update(membership(NEW), TIMINGS, SETTLED_MILLIS);
@@ -41,60 +41,62 @@
         pledge(early, SETTLED_MILLIS, "h4", "h5");
         pledge(shared ? late : early, SETTLED_MILLIS, "h3");
         long nowMillis = SETTLED_MILLIS + 500;
-        int together = late.usableSlots(limit, nowMillis, nowMillis) + early.usableSlots(limit, nowMillis, nowMillis);
-        assertThat(together, lessThanOrEqualTo(limit));
+        int totalUsable =
+                late.usableSlots(limit, nowMillis, nowMillis) + early.usableSlots(limit, nowMillis, nowMillis);
+        assertThat(totalUsable, lessThanOrEqualTo(limit));
     }
 
     @Example
-    void newVotersAloneCountOnceNobodyCanActByTheOldListAnyMore() {
+    void onlyNewVotersCountOnceTheOldListIsObsolete() {
         MembershipViews views = views(OLD);
         views.update(membership(NEW), TIMINGS, SETTLED_MILLIS);
-        HeldPledges book = new HeldPledges(SLICE, views, ShareRule.REST_TO_MAJORITY);
-        long settledAtMillis =
+        HeldPledges heldPledges = new HeldPledges(SLICE, views, ShareRule.REST_TO_MAJORITY);
+        long obsoleteAtMillis =
                 SETTLED_MILLIS + TIMINGS.upperBoundMillis(TIMINGS.listLagMillis()) + TIMINGS.grantExpiryMillis();
-        pledge(book, settledAtMillis - 100, NEW.toArray(String[]::new));
-        assertThat(book.usableSlots(4, settledAtMillis - 1, settledAtMillis), is(1));
-        assertThat(book.usableSlots(4, settledAtMillis, settledAtMillis), is(4));
+        pledge(heldPledges, obsoleteAtMillis - 100, NEW.toArray(String[]::new));
+        assertThat(heldPledges.usableSlots(4, obsoleteAtMillis - 1, obsoleteAtMillis), is(1));
+        assertThat(heldPledges.usableSlots(4, obsoleteAtMillis, obsoleteAtMillis), is(4));
     }
 
     // A process that has just started cannot know which voters others still count by.
     @Example
-    void processThatHasJustStartedUsesNothingUntilAllMustKnowItsFirstList() {
+    void startedProcessUsesNothingUntilAllProcessesHaveItsFirstList() {
         MembershipViews views = new MembershipViews();
         views.update(membership(OLD), TIMINGS, 0);
-        HeldPledges book = new HeldPledges(SLICE, views, ShareRule.REST_TO_MAJORITY);
-        pledge(book, 500, "h1", "h2", "h3");
-        assertThat(book.usableSlots(4, 600, 600), is(0));
+        HeldPledges heldPledges = new HeldPledges(SLICE, views, ShareRule.REST_TO_MAJORITY);
+        pledge(heldPledges, 500, "h1", "h2", "h3");
+        assertThat(heldPledges.usableSlots(4, 600, 600), is(0));
     }
 
     // The earlier owner's last grants are still under way when its pledges run out; a load measured before they have
     // run
     // out does not show them.
     @Example
-    void loadMeasuredBeforeEarlierGrantsHaveRunOutCountsForNothing() {
-        HeldPledges book = book(OLD);
+    void loadMeasuredBeforeEarlierGrantsExpiredIsIgnored() {
+        HeldPledges heldPledges = heldPledges(OLD);
         for (String voter : OLD) {
-            book.add(voter, SETTLED_MILLIS, TIMINGS.pledgeMillis(), 0, TIMINGS, SETTLED_MILLIS);
+            heldPledges.add(voter, SETTLED_MILLIS, TIMINGS.pledgeMillis(), 0, TIMINGS, SETTLED_MILLIS);
         }
-        long ripeAtMillis = SETTLED_MILLIS + TIMINGS.grantExpiryMillis();
-        assertThat(book.usableSlots(4, ripeAtMillis - 1, SETTLED_MILLIS + 900), is(0));
-        assertThat(book.usableSlots(4, ripeAtMillis, SETTLED_MILLIS + 900), is(4));
+        long effectiveFromMillis = SETTLED_MILLIS + TIMINGS.grantExpiryMillis();
+        assertThat(heldPledges.usableSlots(4, effectiveFromMillis - 1, SETTLED_MILLIS + 900), is(0));
+        assertThat(heldPledges.usableSlots(4, effectiveFromMillis, SETTLED_MILLIS + 900), is(4));
     }
 
     // The owner's messages were held up, or it was frozen; the voter's time ran from when it answered.
     @Example
-    void pledgeEndsForTheOwnerBeforeItEndsForTheVoter() {
-        HeldPledges book = book(OLD);
-        long sentAtMillis = SETTLED_MILLIS - 700;
+    void pledgeExpiresAtTheOwnerBeforeItExpiresAtTheVoter() {
+        HeldPledges heldPledges = heldPledges(OLD);
+        long requestSentAtMillis = SETTLED_MILLIS - 700;
         for (String voter : OLD) {
-            book.add(voter, sentAtMillis, TIMINGS.pledgeMillis(), LONG_QUIET_MILLIS, TIMINGS, SETTLED_MILLIS);
+            heldPledges.add(
+                    voter, requestSentAtMillis, TIMINGS.pledgeMillis(), LONG_UNHELD_MILLIS, TIMINGS, SETTLED_MILLIS);
         }
-        long lastMillis = sentAtMillis + TIMINGS.lowerBoundMillis(TIMINGS.pledgeMillis()) - 1;
-        assertThat(book.usableSlots(4, SETTLED_MILLIS, lastMillis), is(4));
-        assertThat(book.usableSlots(4, SETTLED_MILLIS, lastMillis + 1), is(0));
+        long lastValidMillis = requestSentAtMillis + TIMINGS.lowerBoundMillis(TIMINGS.pledgeMillis()) - 1;
+        assertThat(heldPledges.usableSlots(4, SETTLED_MILLIS, lastValidMillis), is(4));
+        assertThat(heldPledges.usableSlots(4, SETTLED_MILLIS, lastValidMillis + 1), is(0));
     }
 
-    private static HeldPledges book(List<String> hosts) {
+    private static HeldPledges heldPledges(List<String> hosts) {
         return new HeldPledges(SLICE, views(hosts), ShareRule.REST_TO_MAJORITY);
     }
 
@@ -104,9 +106,9 @@
         return views;
     }
 
-    private static void pledge(HeldPledges book, long nowMillis, String... voters) {
+    private static void pledge(HeldPledges heldPledges, long nowMillis, String... voters) {
         for (String voter : voters) {
-            book.add(voter, nowMillis, TIMINGS.pledgeMillis(), LONG_QUIET_MILLIS, TIMINGS, nowMillis);
+            heldPledges.add(voter, nowMillis, TIMINGS.pledgeMillis(), LONG_UNHELD_MILLIS, TIMINGS, nowMillis);
         }
     }
 
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/pledge/VoterTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/pledge/VoterTest.java
@@ -36,36 +36,36 @@
     // A host is restarted and has forgotten that it pledged to one owner. If it pledged to another at once, both would
     // count it and send twice what a target bears.
     @Test
-    void restartedVoterPledgesNothingUntilItsEarlierPledgesHaveRunOut() {
-        assertThat(ask(FIRST, 1000).getRefusedCount(), is(1));
-        assertThat(ask(FIRST, 1001).getSlicesCount(), is(1));
+    void restartedVoterPledgesNothingUntilItsEarlierPledgesHaveExpired() {
+        assertThat(request(FIRST, 1000).getRefusedCount(), is(1));
+        assertThat(request(FIRST, 1001).getSlicesCount(), is(1));
     }
 
     @Test
-    void pledgesToOneOwnerAtATimeAndTellsHowLongTheOtherIsGone() {
-        assertThat(ask(SECOND, 2000).getSlicesCount(), is(1));
-        assertThat(ask(FIRST, 2999).getRefusedCount(), is(1));
-        Pledge pledge = ask(FIRST, 3100);
+    void pledgesToOneOwnerAtATimeAndReportsTheTimeSinceTheOtherExpired() {
+        assertThat(request(SECOND, 2000).getSlicesCount(), is(1));
+        assertThat(request(FIRST, 2999).getRefusedCount(), is(1));
+        Pledge pledge = request(FIRST, 3100);
         assertThat(pledge.getSlicesCount(), is(1));
         assertThat(pledge.getQuietMillis(0), is(100L));
     }
 
     // The host that comes first by the list returns, and the present owner would renew its pledges for ever.
     @Test
-    void stopsRenewingWhenAnOwnerThatComesFirstAsks() {
-        ask(SECOND, 2000);
-        ask(FIRST, 2100);
-        assertThat(ask(SECOND, 2300).getRefusedCount(), is(1));
-        assertThat(ask(FIRST, 3000).getSlicesCount(), is(1));
-        ask(SECOND, 3100);
-        assertThat(ask(FIRST, 3300).getSlicesCount(), is(1));
+    void stopsRenewingWhenAPreferredCandidateRequests() {
+        request(SECOND, 2000);
+        request(FIRST, 2100);
+        assertThat(request(SECOND, 2300).getRefusedCount(), is(1));
+        assertThat(request(FIRST, 3000).getSlicesCount(), is(1));
+        request(SECOND, 3100);
+        assertThat(request(FIRST, 3300).getSlicesCount(), is(1));
     }
 
     @Test
     void cleanReleaseLetsTheNextOwnerStartWithoutWaitingForGrants() {
-        ask(FIRST, 2000);
+        request(FIRST, 2000);
         voter.release(FIRST, List.of(SLICE), true, TIMINGS, 2100);
-        Pledge pledge = ask(SECOND, 2110);
+        Pledge pledge = request(SECOND, 2110);
         assertThat(pledge.getSlicesCount(), is(1));
         assertThat(pledge.getQuietMillis(0), is(10 + TIMINGS.upperBoundMillis(TIMINGS.grantMillis())));
     }
@@ -87,12 +87,12 @@
         assertThat(new Share(voters, voters).usableSlots(limit, rule), is(limit));
     }
 
-    private Pledge ask(ProcessId asker, long nowMillis) {
-        return voter.answer(asker, REQUEST, MEMBERSHIP, TIMINGS, nowMillis);
+    private Pledge request(ProcessId requester, long nowMillis) {
+        return voter.answer(requester, REQUEST, MEMBERSHIP, TIMINGS, nowMillis);
     }
 
-    private static ProcessId owner(int place) {
-        return new ProcessId(MEMBERSHIP.candidates(SLICE).get(place).getName(), 1);
+    private static ProcessId owner(int index) {
+        return new ProcessId(MEMBERSHIP.candidates(SLICE).get(index).getName(), 1);
     }
 
     private static Membership membership() {
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerContext.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerContext.java
@@ -17,28 +17,28 @@
 
 /** What all slices of one process share. */
 final class SchedulerContext {
-    private static final long GRANTS_PER_START = 1L << 32;
+    private static final long GRANT_IDS_PER_INCARNATION = 1L << 32;
 
     private final ProcessId self;
     private final PlacementStrategy placement;
-    private final SchedulerCore.ProcessOperations whole;
+    private final SchedulerCore.ProcessOperations operations;
     private final PlacementState placementState;
     private final MembershipViews views = new MembershipViews();
     private final AdmissionFloors floors;
-    private final Map<ProcessId, Long> homeClocks = new HashMap<>();
+    private final Map<ProcessId, Long> latestHomeClocks = new HashMap<>();
     private final Set<String> reachable = new HashSet<>();
     private List<SchedulerAction> actions = new ArrayList<>();
-    private SchedulerConfiguration rules;
+    private SchedulerConfiguration configuration;
     private boolean leaving;
     private long nextGrant;
 
-    SchedulerContext(ProcessId self, PlacementStrategy placement, SchedulerCore.ProcessOperations whole) {
-        this.whole = whole;
+    SchedulerContext(ProcessId self, PlacementStrategy placement, SchedulerCore.ProcessOperations operations) {
+        this.operations = operations;
         this.self = self;
         this.placement = placement;
         this.placementState = new PlacementState(self.incarnation());
         this.floors = new AdmissionFloors(self.incarnation());
-        this.nextGrant = self.incarnation() * GRANTS_PER_START + 1;
+        this.nextGrant = self.incarnation() * GRANT_IDS_PER_INCARNATION + 1;
     }
 
     ProcessId self() {
@@ -66,11 +66,11 @@
     }
 
     Timings timings() {
-        return rules.timings();
+        return configuration.timings();
     }
 
     boolean isReady() {
-        return rules != null;
+        return configuration != null;
     }
 
     boolean isLeaving() {
@@ -86,36 +86,36 @@
     }
 
     int lowestRank() {
-        return rules.lowestRank();
+        return configuration.lowestRank();
     }
 
     ServiceSpec service(String name) {
-        return rules.service(name);
+        return configuration.service(name);
     }
 
-    void update(Membership membership, SchedulerConfiguration newRules, long nowMillis) {
-        rules = newRules;
-        views.update(membership, rules.timings(), nowMillis);
+    void update(Membership membership, SchedulerConfiguration newConfiguration, long nowMillis) {
+        configuration = newConfiguration;
+        views.update(membership, configuration.timings(), nowMillis);
     }
 
     void release(SliceId slice, long nowMillis) {
-        whole.release(slice, nowMillis);
+        operations.release(slice, nowMillis);
     }
 
     void raiseFloor(String service, int rank, long nowMillis) {
-        whole.raiseFloor(service, rank, nowMillis);
+        operations.raiseFloor(service, rank, nowMillis);
     }
 
     void recordClock(ProcessId home, long clockMillis) {
-        homeClocks.merge(home, clockMillis, Math::max);
+        latestHomeClocks.merge(home, clockMillis, Math::max);
     }
 
     long clock(ProcessId home) {
-        return homeClocks.getOrDefault(home, 0L);
+        return latestHomeClocks.getOrDefault(home, 0L);
     }
 
     void forget(ProcessId home) {
-        homeClocks.remove(home);
+        latestHomeClocks.remove(home);
     }
 
     long nextGrantId() {
@@ -130,8 +130,8 @@
         actions.add(new SchedulerAction.SendToPeer(host, frame.build()));
     }
 
-    void count(SchedulerCounter measure, Object label) {
-        actions.add(new SchedulerAction.IncrementCounter(measure, String.valueOf(label)));
+    void count(SchedulerCounter counter, Object label) {
+        actions.add(new SchedulerAction.IncrementCounter(counter, String.valueOf(label)));
     }
 
     List<SchedulerAction> takeActions() {
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCore.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCore.java
@@ -30,17 +30,17 @@
  * <p>Confined to one thread. Everything happens in {@link #handle}: an event and the time now go in, actions come out.
  */
 public final class SchedulerCore {
-    private static final int RENEWALS_PER_PLEDGE = 3;
-    private static final long STATUS_MILLIS = 1_000;
-    private static final long SHORTEST_PAUSE_MILLIS = 500;
-    private static final int FLOOR_CANDIDATES = 2;
+    private static final int PLEDGE_REQUESTS_PER_VALIDITY = 3;
+    private static final long STATUS_INTERVAL_MILLIS = 1_000;
+    private static final long MIN_PAUSE_MILLIS = 500;
+    private static final int CANDIDATES_PER_SLICE = 2;
 
-    private final SchedulerContext scene;
+    private final SchedulerContext context;
     private final Voter voter;
     private final Map<SliceId, SliceOwner> slices = new HashMap<>();
-    private long handledAtMillis;
-    private long pledgesAskedAtMillis = Long.MIN_VALUE / 2;
-    private long statusSentAtMillis = Long.MIN_VALUE / 2;
+    private long lastEventMillis;
+    private long lastPledgeRequestMillis = Long.MIN_VALUE / 2;
+    private long lastStatusMillis = Long.MIN_VALUE / 2;
 
     /**
      * Creates the decisions of a process that has just started.
@@ -50,7 +50,7 @@
      * @param startedAtMillis when the process started
      */
     public SchedulerCore(ProcessId self, PlacementStrategy placement, long startedAtMillis) {
-        this.scene = new SchedulerContext(self, placement, new ProcessOperations());
+        this.context = new SchedulerContext(self, placement, new ProcessOperations());
         this.voter = new Voter(startedAtMillis);
     }
 
@@ -62,13 +62,13 @@
      * @return what to do, in this order
      */
     public List<SchedulerAction> handle(SchedulerEvent event, long nowMillis) {
-        noticePause(nowMillis);
-        if (event instanceof SchedulerEvent.ConfigurationChanged viewed) {
-            viewed(viewed, nowMillis);
-        } else if (scene.isReady()) {
+        detectPause(nowMillis);
+        if (event instanceof SchedulerEvent.ConfigurationChanged change) {
+            configurationChanged(change, nowMillis);
+        } else if (context.isReady()) {
             handleReady(event, nowMillis);
         }
-        return scene.takeActions();
+        return context.takeActions();
     }
 
     /**
@@ -100,7 +100,7 @@
      * @return number for the next question; 0 when none was seen
      */
     public long lastCacheEventNumber(String target) {
-        return scene.membership()
+        return context.membership()
                 .sliceOf(target)
                 .map(slices::get)
                 .flatMap(owner -> owner.targets().account(target))
@@ -118,17 +118,17 @@
         Set<String> peers = new LinkedHashSet<>();
         for (SliceOwner owner : slices.values()) {
             if (owner.needsPledges(nowMillis)) {
-                peers.addAll(scene.views().voters(owner.slice()));
+                peers.addAll(context.views().voters(owner.slice()));
                 peers.addAll(owners(owner.slice().getService()));
             }
             // Whether this host may take the slice over depends on whether those before it can be reached.
-            scene.membership().candidates(owner.slice()).stream()
+            context.membership().candidates(owner.slice()).stream()
                     .map(Host::getName)
-                    .takeWhile(name -> !name.equals(scene.self().host()))
-                    .limit(FLOOR_CANDIDATES)
+                    .takeWhile(name -> !name.equals(context.self().host()))
+                    .limit(CANDIDATES_PER_SLICE)
                     .forEach(peers::add);
         }
-        peers.remove(scene.self().host());
+        peers.remove(context.self().host());
         return peers;
     }
 
@@ -146,16 +146,16 @@
 
     // A paused process wakes with the list of before. It would ask for pledges by voters that others count no more, and
     // both could have a majority; ticks that come late show the pause.
-    private void noticePause(long nowMillis) {
-        if (scene.isReady() && nowMillis - handledAtMillis > pauseMillis()) {
-            scene.views().resetAfterPause(scene.timings(), nowMillis);
+    private void detectPause(long nowMillis) {
+        if (context.isReady() && nowMillis - lastEventMillis > pauseThresholdMillis()) {
+            context.views().resetAfterPause(context.timings(), nowMillis);
         }
-        handledAtMillis = nowMillis;
+        lastEventMillis = nowMillis;
     }
 
     // A shorter pause counts as part of the bound on the list's lag.
-    private long pauseMillis() {
-        return Math.max(SHORTEST_PAUSE_MILLIS, scene.timings().listLagMillis() / 2);
+    private long pauseThresholdMillis() {
+        return Math.max(MIN_PAUSE_MILLIS, context.timings().listLagMillis() / 2);
     }
 
     private void handleReady(SchedulerEvent event, long nowMillis) {
@@ -165,14 +165,14 @@
             fromPeer(frame.scheduler(), frame.frame(), nowMillis);
         } else if (event instanceof SchedulerEvent.EntryDisconnected lost) {
             slices.values().forEach(owner -> owner.homeDisconnected(lost.home(), nowMillis));
-            scene.forget(lost.home());
+            context.forget(lost.home());
         } else if (event instanceof SchedulerEvent.PeerConnected up) {
-            scene.reachable().add(up.scheduler().host());
-            pledgesAskedAtMillis = Long.MIN_VALUE / 2;
+            context.reachable().add(up.scheduler().host());
+            lastPledgeRequestMillis = Long.MIN_VALUE / 2;
         } else if (event instanceof SchedulerEvent.PeerDisconnected lost) {
-            scene.reachable().remove(lost.scheduler().host());
+            context.reachable().remove(lost.scheduler().host());
         } else if (event instanceof SchedulerEvent.LoadReceived read) {
-            loadRead(read, nowMillis);
+            loadReceived(read, nowMillis);
         } else if (event instanceof SchedulerEvent.LoadRequestFailed failed) {
             withTarget(
                     failed.target(),
@@ -184,33 +184,33 @@
                             .account(read.target())
                             .ifPresent(account -> account.prefixes().applyEvents(read.events())));
         } else if (event instanceof SchedulerEvent.Leave) {
-            scene.leave();
+            context.leave();
             tick(nowMillis);
         } else if (event instanceof SchedulerEvent.Tick) {
             tick(nowMillis);
         }
     }
 
-    private void viewed(SchedulerEvent.ConfigurationChanged viewed, long nowMillis) {
-        scene.update(viewed.membership(), viewed.configuration(), nowMillis);
-        voter.prune(viewed.membership(), nowMillis);
-        for (SliceId slice : viewed.membership().slices()) {
-            boolean first = viewed.membership()
+    private void configurationChanged(SchedulerEvent.ConfigurationChanged change, long nowMillis) {
+        context.update(change.membership(), change.configuration(), nowMillis);
+        voter.prune(change.membership(), nowMillis);
+        for (SliceId slice : change.membership().slices()) {
+            boolean first = change.membership()
                     .wouldBeOwner(slice)
-                    .filter(host -> host.getName().equals(scene.self().host()))
+                    .filter(host -> host.getName().equals(context.self().host()))
                     .isPresent();
             if (first) {
-                slices.computeIfAbsent(slice, key -> new SliceOwner(key, scene));
+                slices.computeIfAbsent(slice, key -> new SliceOwner(key, context));
             }
         }
         slices.values().forEach(owner -> owner.configurationChanged(nowMillis));
-        pledgesAskedAtMillis = Long.MIN_VALUE / 2;
+        lastPledgeRequestMillis = Long.MIN_VALUE / 2;
         tick(nowMillis);
     }
 
     private void fromEntry(ProcessId home, Frame frame, long nowMillis) {
         switch (frame.getBodyCase()) {
-            case HEARTBEAT -> scene.recordClock(home, frame.getHeartbeat().getSentAtMillis());
+            case HEARTBEAT -> context.recordClock(home, frame.getHeartbeat().getSentAtMillis());
             case ENQUEUE -> enqueue(home, frame.getEnqueue(), nowMillis);
             case WITHDRAW -> {
                 SliceOwner owner = slices.get(frame.getWithdraw().getSlice());
@@ -231,8 +231,8 @@
     }
 
     private void enqueue(ProcessId home, Enqueue enqueue, long nowMillis) {
-        scene.recordClock(home, enqueue.getSentAtMillis());
-        SliceOwner owner = slices.computeIfAbsent(enqueue.getSlice(), key -> new SliceOwner(key, scene));
+        context.recordClock(home, enqueue.getSentAtMillis());
+        SliceOwner owner = slices.computeIfAbsent(enqueue.getSlice(), key -> new SliceOwner(key, context));
         owner.enqueue(home, enqueue, nowMillis);
         if (owner.isIdle(nowMillis)) {
             slices.remove(enqueue.getSlice());
@@ -242,36 +242,36 @@
     private void fromPeer(ProcessId scheduler, Frame frame, long nowMillis) {
         switch (frame.getBodyCase()) {
             case PLEDGE_REQUEST ->
-                scene.sendToPeer(
+                context.sendToPeer(
                         scheduler.host(),
                         Frame.newBuilder()
                                 .setPledge(voter.answer(
                                         scheduler,
                                         frame.getPledgeRequest(),
-                                        scene.membership(),
-                                        scene.timings(),
+                                        context.membership(),
+                                        context.timings(),
                                         nowMillis)));
             case HEARTBEAT -> {
                 // Entries ask the next candidate once this one leaves; it must not wait for the link to go down.
                 if (frame.getHeartbeat().getLeaving()) {
-                    scene.reachable().remove(scheduler.host());
+                    context.reachable().remove(scheduler.host());
                 }
             }
-            case PLEDGE -> pledged(scheduler.host(), frame.getPledge(), nowMillis);
+            case PLEDGE -> pledgeReceived(scheduler.host(), frame.getPledge(), nowMillis);
             case PLEDGE_RELEASE ->
                 voter.release(
                         scheduler,
                         frame.getPledgeRelease().getSlicesList(),
                         frame.getPledgeRelease().getClean(),
-                        scene.timings(),
+                        context.timings(),
                         nowMillis);
-            case FLOOR_RAISE -> floorRaised(scheduler.host(), frame.getFloorRaise(), nowMillis);
+            case FLOOR_RAISE -> floorRaiseReceived(scheduler.host(), frame.getFloorRaise(), nowMillis);
             case FLOOR_CLEARED -> {
-                scene.floors().recordCleared(scheduler.host(), frame.getFloorCleared());
-                decide(frame.getFloorCleared().getService(), nowMillis);
+                context.floors().recordCleared(scheduler.host(), frame.getFloorCleared());
+                schedule(frame.getFloorCleared().getService(), nowMillis);
             }
             case FLOOR_LOWER ->
-                scene.floors()
+                context.floors()
                         .removeRemote(
                                 scheduler.host(),
                                 frame.getFloorLower().getService(),
@@ -282,7 +282,7 @@
         }
     }
 
-    private void pledged(String host, Pledge pledge, long nowMillis) {
+    private void pledgeReceived(String host, Pledge pledge, long nowMillis) {
         for (int i = 0; i < pledge.getSlicesCount(); i++) {
             SliceOwner owner = slices.get(pledge.getSlices(i));
             if (owner != null && owner.needsPledges(nowMillis)) {
@@ -292,10 +292,10 @@
         }
     }
 
-    private void floorRaised(String host, FloorRaise raise, long nowMillis) {
-        scene.floors().addRemote(host, raise, nowMillis);
+    private void floorRaiseReceived(String host, FloorRaise raise, long nowMillis) {
+        context.floors().addRemote(host, raise, nowMillis);
         evictBelow(raise.getService(), raise.getRank(), nowMillis);
-        scene.sendToPeer(
+        context.sendToPeer(
                 host,
                 Frame.newBuilder()
                         .setFloorCleared(FloorCleared.newBuilder()
@@ -304,12 +304,12 @@
                                 .setFloor(raise.getFloor())));
     }
 
-    private void loadRead(SchedulerEvent.LoadReceived read, long nowMillis) {
+    private void loadReceived(SchedulerEvent.LoadReceived read, long nowMillis) {
         withTarget(read.target(), owner -> {
             owner.targets()
                     .account(read.target())
                     .ifPresent(account ->
-                            account.addReading(read.load(), read.requestedAtMillis(), nowMillis, scene.timings()));
+                            account.addReading(read.load(), read.requestedAtMillis(), nowMillis, context.timings()));
             owner.schedule(nowMillis);
         });
     }
@@ -323,51 +323,51 @@
     }
 
     private void tick(long nowMillis) {
-        Membership membership = scene.membership();
-        scene.views().prune(nowMillis - scene.timings().maxLoadAgeMillis());
-        askForPledges(nowMillis);
+        Membership membership = context.membership();
+        context.views().prune(nowMillis - context.timings().maxLoadAgeMillis());
+        requestPledges(nowMillis);
         slices.values().forEach(owner -> owner.schedule(nowMillis));
-        tendFloors(nowMillis);
+        maintainFloors(nowMillis);
         slices.values()
                 .removeIf(owner -> owner.isIdle(nowMillis)
                         || !membership.slices().contains(owner.slice()) && owner.isHandoverComplete(nowMillis));
-        if (nowMillis - statusSentAtMillis >= STATUS_MILLIS) {
-            statusSentAtMillis = nowMillis;
-            slices.values().forEach(owner -> SliceStatusReporter.send(owner, scene, nowMillis));
+        if (nowMillis - lastStatusMillis >= STATUS_INTERVAL_MILLIS) {
+            lastStatusMillis = nowMillis;
+            slices.values().forEach(owner -> SliceStatusReporter.send(owner, context, nowMillis));
         }
     }
 
-    private void askForPledges(long nowMillis) {
-        if (nowMillis - pledgesAskedAtMillis < scene.timings().pledgeMillis() / RENEWALS_PER_PLEDGE) {
+    private void requestPledges(long nowMillis) {
+        if (nowMillis - lastPledgeRequestMillis < context.timings().pledgeMillis() / PLEDGE_REQUESTS_PER_VALIDITY) {
             return;
         }
-        pledgesAskedAtMillis = nowMillis;
+        lastPledgeRequestMillis = nowMillis;
         Map<String, PledgeRequest.Builder> requests = new TreeMap<>();
         for (SliceOwner owner : slices.values()) {
             if (owner.needsPledges(nowMillis)) {
-                for (String host : scene.views().voters(owner.slice())) {
+                for (String host : context.views().voters(owner.slice())) {
                     requests.computeIfAbsent(host, key -> PledgeRequest.newBuilder())
                             .addSlices(owner.slice());
                 }
             }
         }
-        requests.forEach(
-                (host, request) -> ask(host, request.setSentAtMillis(nowMillis).build(), nowMillis));
+        requests.forEach((host, request) ->
+                sendPledgeRequest(host, request.setSentAtMillis(nowMillis).build(), nowMillis));
     }
 
-    private void ask(String host, PledgeRequest request, long nowMillis) {
-        if (host.equals(scene.self().host())) {
-            Pledge pledge = voter.answer(scene.self(), request, scene.membership(), scene.timings(), nowMillis);
-            pledged(host, pledge, nowMillis);
+    private void sendPledgeRequest(String host, PledgeRequest request, long nowMillis) {
+        if (host.equals(context.self().host())) {
+            Pledge pledge = voter.answer(context.self(), request, context.membership(), context.timings(), nowMillis);
+            pledgeReceived(host, pledge, nowMillis);
         } else {
-            scene.sendToPeer(host, Frame.newBuilder().setPledgeRequest(request));
+            context.sendToPeer(host, Frame.newBuilder().setPledgeRequest(request));
         }
     }
 
-    private void tendFloors(long nowMillis) {
-        scene.floors().lowerUnneeded(nowMillis).forEach((service, floor) -> {
+    private void maintainFloors(long nowMillis) {
+        context.floors().lowerUnneeded(nowMillis).forEach((service, floor) -> {
             for (String host : owners(service)) {
-                scene.sendToPeer(
+                context.sendToPeer(
                         host,
                         Frame.newBuilder()
                                 .setFloorLower(FloorLower.newBuilder()
@@ -375,28 +375,28 @@
                                         .setFloor(floor)));
             }
         });
-        for (String service : scene.floors().servicesToAnnounce(nowMillis)) {
+        for (String service : context.floors().servicesToAnnounce(nowMillis)) {
             announceFloor(service, nowMillis);
         }
     }
 
     private void announceFloor(String service, long nowMillis) {
         Set<String> owners = owners(service);
-        FloorRaise raise = scene.floors().announce(service, owners, nowMillis);
+        FloorRaise raise = context.floors().announce(service, owners, nowMillis);
         for (String host : owners) {
-            scene.sendToPeer(host, Frame.newBuilder().setFloorRaise(raise));
+            context.sendToPeer(host, Frame.newBuilder().setFloorRaise(raise));
         }
     }
 
     private Set<String> owners(String service) {
         Set<String> owners = new LinkedHashSet<>();
-        for (SliceId slice : scene.membership().slices(service)) {
-            scene.membership().candidates(slice).stream()
-                    .limit(FLOOR_CANDIDATES)
+        for (SliceId slice : context.membership().slices(service)) {
+            context.membership().candidates(slice).stream()
+                    .limit(CANDIDATES_PER_SLICE)
                     .map(Host::getName)
                     .forEach(owners::add);
         }
-        owners.remove(scene.self().host());
+        owners.remove(context.self().host());
         return owners;
     }
 
@@ -408,7 +408,7 @@
         }
     }
 
-    private void decide(String service, long nowMillis) {
+    private void schedule(String service, long nowMillis) {
         for (SliceOwner owner : slices.values()) {
             if (owner.slice().getService().equals(service)) {
                 owner.schedule(nowMillis);
@@ -421,11 +421,11 @@
         /** Gives the pledges of a slice back to all voters. */
         void release(SliceId slice, long nowMillis) {
             List<SliceId> released = List.of(slice);
-            for (String host : scene.views().voters(slice)) {
-                if (host.equals(scene.self().host())) {
-                    voter.release(scene.self(), released, true, scene.timings(), nowMillis);
+            for (String host : context.views().voters(slice)) {
+                if (host.equals(context.self().host())) {
+                    voter.release(context.self(), released, true, context.timings(), nowMillis);
                 } else {
-                    scene.sendToPeer(
+                    context.sendToPeer(
                             host,
                             Frame.newBuilder()
                                     .setPledgeRelease(PledgeRelease.newBuilder()
@@ -437,8 +437,8 @@
 
         /** Raises the floor of a service, clears the own slices first and tells the others. */
         void raiseFloor(String service, int rank, long nowMillis) {
-            if (scene.floors().raise(service, rank, nowMillis)) {
-                scene.count(SchedulerCounter.FLOOR_RAISED, rank);
+            if (context.floors().raise(service, rank, nowMillis)) {
+                context.count(SchedulerCounter.FLOOR_RAISED, rank);
                 evictBelow(service, rank, nowMillis);
                 announceFloor(service, nowMillis);
             }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SliceOwner.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SliceOwner.java
@@ -27,30 +27,30 @@
 /** Queue, pledges and targets of one slice at the process that owns it or is to own it. */
 final class SliceOwner {
     private static final int HARD_BOUND_FACTOR = 2;
-    private static final double NEARLY_FULL = 0.8;
-    private static final double OPTIMISM = 0.5;
-    private static final long SHORTEST_COME_BACK_MILLIS = 200;
-    private static final long DEFAULT_COME_BACK_MILLIS = 1_000;
-    private static final long LONGEST_COME_BACK_MILLIS = 60_000;
-    private static final long HOPELESS_MILLIS = 50;
-    private static final long HEARD_MILLIS = 5_000;
+    private static final double FLOOR_EXTENSION_RATIO = 0.8;
+    private static final double WAIT_DISCOUNT = 0.5;
+    private static final long MIN_RETRY_AFTER_MILLIS = 200;
+    private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
+    private static final long MAX_RETRY_AFTER_MILLIS = 60_000;
+    private static final long DEADLINE_CHECK_INTERVAL_MILLIS = 50;
+    private static final long RECENT_ENQUEUE_MILLIS = 5_000;
 
     private final SliceId slice;
-    private final SchedulerContext scene;
+    private final SchedulerContext context;
     private final HeldPledges pledges;
     private final SliceTargets targets;
     private final SliceQueue queue = new SliceQueue();
-    private final DrainRate drain = new DrainRate();
+    private final DrainRate drainRate = new DrainRate();
     private final Map<ProcessId, Long> lastContactMillis = new HashMap<>();
-    private long enqueuedAtMillis = Long.MIN_VALUE / 2;
-    private long hopelessAtMillis = Long.MIN_VALUE / 2;
+    private long lastEnqueueMillis = Long.MIN_VALUE / 2;
+    private long lastDeadlineCheckMillis = Long.MIN_VALUE / 2;
     private boolean mayHoldPledges;
 
-    SliceOwner(SliceId slice, SchedulerContext scene) {
+    SliceOwner(SliceId slice, SchedulerContext context) {
         this.slice = slice;
-        this.scene = scene;
-        this.pledges = new HeldPledges(slice, scene.views(), ShareRule.REST_TO_MAJORITY);
-        this.targets = new SliceTargets(slice, scene, pledges);
+        this.context = context;
+        this.pledges = new HeldPledges(slice, context.views(), ShareRule.REST_TO_MAJORITY);
+        this.targets = new SliceTargets(slice, context, pledges);
         targets.update();
     }
 
@@ -81,16 +81,16 @@
 
     /** Tells whether this process is to own the slice: first by the list, or the first that can be reached. */
     boolean shouldOwn(long nowMillis) {
-        if (scene.isLeaving() || !scene.membership().slices().contains(slice)) {
+        if (context.isLeaving() || !context.membership().slices().contains(slice)) {
             return false;
         }
-        boolean asked = nowMillis - enqueuedAtMillis < HEARD_MILLIS
+        boolean isRequested = nowMillis - lastEnqueueMillis < RECENT_ENQUEUE_MILLIS
                 || pledges.share(nowMillis).pledged() > 0;
-        for (Host candidate : scene.membership().candidates(slice)) {
-            if (candidate.getName().equals(scene.self().host())) {
+        for (Host candidate : context.membership().candidates(slice)) {
+            if (candidate.getName().equals(context.self().host())) {
                 return true;
             }
-            if (!asked || scene.reachable().contains(candidate.getName())) {
+            if (!isRequested || context.reachable().contains(candidate.getName())) {
                 return false;
             }
         }
@@ -116,17 +116,17 @@
 
     void pledgeReceived(String voter, Pledge pledge, int position, long nowMillis) {
         long quietMillis = position < pledge.getQuietMillisCount() ? pledge.getQuietMillis(position) : 0;
-        pledges.add(voter, pledge.getEchoMillis(), pledge.getGoodMillis(), quietMillis, scene.timings(), nowMillis);
+        pledges.add(voter, pledge.getEchoMillis(), pledge.getGoodMillis(), quietMillis, context.timings(), nowMillis);
         mayHoldPledges = true;
     }
 
     void enqueue(ProcessId home, Enqueue enqueue, long nowMillis) {
-        enqueuedAtMillis = nowMillis;
+        lastEnqueueMillis = nowMillis;
         lastContactMillis.put(home, nowMillis);
         targets.adopt(home, enqueue.getInFlightList(), nowMillis);
-        WaitingRequest waiting = waiting(home, enqueue, nowMillis);
+        WaitingRequest waiting = newWaitingRequest(home, enqueue, nowMillis);
         targets.orphan(home, enqueue.getRequest(), nowMillis);
-        Optional<RefusalReason> refusal = refusalOf(waiting, nowMillis);
+        Optional<RefusalReason> refusal = checkAdmission(waiting, nowMillis);
         if (refusal.isPresent()) {
             refuse(waiting, refusal.get(), nowMillis);
         } else if (queue.add(waiting)) {
@@ -140,13 +140,13 @@
 
     void finished(ProcessId home, Finished finished, long nowMillis) {
         lastContactMillis.put(home, nowMillis);
-        scene.count(SchedulerCounter.FINISHED, finished.getKind());
+        context.count(SchedulerCounter.FINISHED, finished.getKind());
         Optional<Slot> slot = targets.finish(home, finished, nowMillis);
         switch (finished.getKind()) {
             case COMPLETED ->
-                slot.map(Slot::waiting).ifPresent(waiting -> drain.addCompleted(waiting.cost(), nowMillis));
+                slot.map(Slot::waiting).ifPresent(waiting -> drainRate.addCompleted(waiting.cost(), nowMillis));
             case UNUSED ->
-                slot.map(Slot::waiting).ifPresent(waiting -> scene.count(SchedulerCounter.UNUSED, waiting.rank()));
+                slot.map(Slot::waiting).ifPresent(waiting -> context.count(SchedulerCounter.UNUSED, waiting.rank()));
             default -> {
                 // What failed or was cancelled says nothing of how fast the slice drains.
             }
@@ -180,20 +180,20 @@
             evictAll(RefusalReason.NO_TARGET, nowMillis);
             return;
         }
-        if (nowMillis - hopelessAtMillis >= HOPELESS_MILLIS) {
-            hopelessAtMillis = nowMillis;
-            evictHopeless(nowMillis);
+        if (nowMillis - lastDeadlineCheckMillis >= DEADLINE_CHECK_INTERVAL_MILLIS) {
+            lastDeadlineCheckMillis = nowMillis;
+            evictUnmeetableDeadlines(nowMillis);
         }
-        trim(nowMillis);
+        shedExcess(nowMillis);
         grant(nowMillis);
     }
 
     /** Predicts how long a fresh request of a tier waits. */
     long estimatedWaitMillis(int rank, long nowMillis) {
-        return (long) drain.predictMillis(queue.costAhead(rank), nowMillis);
+        return (long) drainRate.predictMillis(queue.costAhead(rank), nowMillis);
     }
 
-    private WaitingRequest waiting(ProcessId home, Enqueue enqueue, long nowMillis) {
+    private WaitingRequest newWaitingRequest(ProcessId home, Enqueue enqueue, long nowMillis) {
         return new WaitingRequest(
                 home,
                 enqueue.getRequest(),
@@ -208,8 +208,8 @@
                 nowMillis);
     }
 
-    private Optional<RefusalReason> refusalOf(WaitingRequest waiting, long nowMillis) {
-        if (scene.isLeaving()) {
+    private Optional<RefusalReason> checkAdmission(WaitingRequest waiting, long nowMillis) {
+        if (context.isLeaving()) {
             return Optional.of(RefusalReason.OWNER_LEAVING);
         }
         if (!shouldOwn(nowMillis)) {
@@ -218,25 +218,27 @@
         if (targets.usableCount() == 0) {
             return Optional.of(RefusalReason.NO_TARGET);
         }
-        if (waiting.rank() < scene.floors().effectiveRank(slice.getService(), nowMillis)) {
+        if (waiting.rank() < context.floors().effectiveRank(slice.getService(), nowMillis)) {
             return Optional.of(RefusalReason.BELOW_FLOOR);
         }
         // The prediction may be wrong, and a lower request that waits here would then get the place of this one. It
         // is given up only when its deadline cannot be met even if it were next.
         double waitMillis = queue.hasBelowRank(waiting.rank())
                 ? 0
-                : OPTIMISM * drain.predictMillis(queue.costBefore(waiting), nowMillis);
-        return isHopeless(waiting, waitMillis, nowMillis) ? Optional.of(RefusalReason.HOPELESS) : Optional.empty();
+                : WAIT_DISCOUNT * drainRate.predictMillis(queue.costBefore(waiting), nowMillis);
+        return cannotMeetDeadline(waiting, waitMillis, nowMillis)
+                ? Optional.of(RefusalReason.HOPELESS)
+                : Optional.empty();
     }
 
-    private boolean isHopeless(WaitingRequest waiting, double waitMillis, long nowMillis) {
-        double leftMillis = waiting.deadlineMillis() - nowMillis;
-        return leftMillis <= 0 || leftMillis < waitMillis + targets.minPredictedMillis(waiting, nowMillis);
+    private boolean cannotMeetDeadline(WaitingRequest waiting, double waitMillis, long nowMillis) {
+        double remainingMillis = waiting.deadlineMillis() - nowMillis;
+        return remainingMillis <= 0 || remainingMillis < waitMillis + targets.minPredictedMillis(waiting, nowMillis);
     }
 
-    private void evictHopeless(long nowMillis) {
+    private void evictUnmeetableDeadlines(long nowMillis) {
         for (WaitingRequest waiting : queue.all()) {
-            if (isHopeless(waiting, 0, nowMillis)) {
+            if (cannotMeetDeadline(waiting, 0, nowMillis)) {
                 evict(waiting, RefusalReason.HOPELESS, nowMillis);
             }
         }
@@ -254,41 +256,41 @@
     }
 
     private void handOver(long nowMillis) {
-        evictAll(scene.isLeaving() ? RefusalReason.OWNER_LEAVING : RefusalReason.NOT_OWNER, nowMillis);
+        evictAll(context.isLeaving() ? RefusalReason.OWNER_LEAVING : RefusalReason.NOT_OWNER, nowMillis);
         targets.recallAll(nowMillis, this::recall);
         if (mayHoldPledges && !targets.hasUnusedGrants(nowMillis)) {
             mayHoldPledges = false;
             pledges.clear();
-            scene.release(slice, nowMillis);
+            context.release(slice, nowMillis);
         }
     }
 
     // A full queue sheds the lowest tier first. Only the lowest tier of the document may be shed without asking:
     // anything
     // else might be kept out by a lower request that waits at another owner.
-    private void trim(long nowMillis) {
-        int bound = scene.service(slice.getService()).getMaxWaiting();
-        while (queue.size() > bound) {
+    private void shedExcess(long nowMillis) {
+        int maxWaiting = context.service(slice.getService()).getMaxWaiting();
+        while (queue.size() > maxWaiting) {
             WaitingRequest victim = queue.victim().orElseThrow();
             if (!mayShed(victim, nowMillis)) {
-                scene.raiseFloor(slice.getService(), victim.rank(), nowMillis);
-                if (queue.size() <= HARD_BOUND_FACTOR * bound) {
+                context.raiseFloor(slice.getService(), victim.rank(), nowMillis);
+                if (queue.size() <= HARD_BOUND_FACTOR * maxWaiting) {
                     return;
                 }
-                scene.count(SchedulerCounter.SHED_BEFORE_FLOOR, victim.rank());
+                context.count(SchedulerCounter.SHED_BEFORE_FLOOR, victim.rank());
             }
             evict(victim, RefusalReason.SHED, nowMillis);
         }
         // A floor that fell whenever the queue is just not too long would rise again with the next request.
-        if (queue.size() > NEARLY_FULL * bound) {
-            scene.floors().extend(slice.getService(), nowMillis);
+        if (queue.size() > FLOOR_EXTENSION_RATIO * maxWaiting) {
+            context.floors().extend(slice.getService(), nowMillis);
         }
     }
 
     private boolean mayShed(WaitingRequest victim, long nowMillis) {
-        return victim.rank() <= scene.lowestRank()
-                || scene.floors()
-                        .mayShed(slice.getService(), victim.rank(), scene.reachable(), scene.timings(), nowMillis);
+        return victim.rank() <= context.lowestRank()
+                || context.floors()
+                        .mayShed(slice.getService(), victim.rank(), context.reachable(), context.timings(), nowMillis);
     }
 
     private void grant(long nowMillis) {
@@ -309,26 +311,26 @@
             return false;
         }
         WaitingRequest waiting = next.get();
-        List<Candidate> fitting = candidates.stream()
+        List<Candidate> serving = candidates.stream()
                 .filter(candidate -> candidate.account().serves(waiting.model()))
                 .toList();
-        Candidate chosen = scene.placement().choose(fitting, waiting, scene.placementState());
-        grant(waiting, chosen, nowMillis);
-        candidates.remove(chosen);
-        if (chosen.freeSlots() > 1) {
-            candidates.add(chosen.afterGrant());
+        Candidate candidate = context.placement().choose(serving, waiting, context.placementState());
+        grant(waiting, candidate, nowMillis);
+        candidates.remove(candidate);
+        if (candidate.freeSlots() > 1) {
+            candidates.add(candidate.afterGrant());
         }
         return true;
     }
 
-    private void grant(WaitingRequest waiting, Candidate chosen, long nowMillis) {
-        TargetAccount account = chosen.account();
-        Host host = scene.membership().host(account.name()).orElseThrow();
-        long grant = scene.nextGrantId();
+    private void grant(WaitingRequest waiting, Candidate candidate, long nowMillis) {
+        TargetAccount account = candidate.account();
+        Host host = context.membership().host(account.name()).orElseThrow();
+        long grant = context.nextGrantId();
         queue.removeGranted(waiting);
-        account.grant(waiting, grant, chosen.freeSlots() <= 1, scene.timings(), nowMillis);
-        scene.count(SchedulerCounter.GRANTED, waiting.rank());
-        scene.sendToEntry(
+        account.grant(waiting, grant, candidate.freeSlots() <= 1, context.timings(), nowMillis);
+        context.count(SchedulerCounter.GRANTED, waiting.rank());
+        context.sendToEntry(
                 waiting.home(),
                 Frame.newBuilder()
                         .setGrant(Grant.newBuilder()
@@ -338,17 +340,17 @@
                                 .setTarget(account.name())
                                 .setAddress(host.getAddress())
                                 .setPort(host.getTarget().getPort())
-                                .setEchoMillis(scene.clock(waiting.home()))
-                                .setGoodMillis(scene.timings().grantMillis())
+                                .setEchoMillis(context.clock(waiting.home()))
+                                .setGoodMillis(context.timings().grantMillis())
                                 .setExpectedPrefillTokens(account.prefixes()
                                         .uncachedTokens(waiting.prefixes(), waiting.promptTokens()))));
     }
 
     private void recall(Slot slot) {
-        scene.count(
+        context.count(
                 SchedulerCounter.RECALLED,
                 slot.waiting() == null ? 0 : slot.waiting().rank());
-        scene.sendToEntry(
+        context.sendToEntry(
                 slot.home(),
                 Frame.newBuilder()
                         .setRecall(Recall.newBuilder()
@@ -358,24 +360,24 @@
     }
 
     private void refuse(WaitingRequest waiting, RefusalReason reason, long nowMillis) {
-        scene.count(SchedulerCounter.REFUSED, reason);
-        scene.sendToEntry(
+        context.count(SchedulerCounter.REFUSED, reason);
+        context.sendToEntry(
                 waiting.home(),
                 Frame.newBuilder()
                         .setRefusal(Refusal.newBuilder()
                                 .setSlice(slice)
                                 .setRequest(waiting.request())
                                 .setReason(reason)
-                                .setComeBackMillis(comeBackMillis(waiting, reason, nowMillis))));
+                                .setComeBackMillis(retryAfterMillis(waiting, reason, nowMillis))));
     }
 
-    private long comeBackMillis(WaitingRequest waiting, RefusalReason reason, long nowMillis) {
+    private long retryAfterMillis(WaitingRequest waiting, RefusalReason reason, long nowMillis) {
         if (reason == RefusalReason.NOT_OWNER || reason == RefusalReason.OWNER_LEAVING) {
             return 0;
         }
         long drainMillis = estimatedWaitMillis(waiting.rank(), nowMillis);
-        long comeBackMillis = drainMillis == 0 ? DEFAULT_COME_BACK_MILLIS : drainMillis;
-        return Math.min(LONGEST_COME_BACK_MILLIS, Math.max(SHORTEST_COME_BACK_MILLIS, comeBackMillis));
+        long retryAfterMillis = drainMillis == 0 ? DEFAULT_RETRY_AFTER_MILLIS : drainMillis;
+        return Math.min(MAX_RETRY_AFTER_MILLIS, Math.max(MIN_RETRY_AFTER_MILLIS, retryAfterMillis));
     }
 
     List<String> targetNames() {
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SliceStatusReporter.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SliceStatusReporter.java
@@ -13,19 +13,19 @@
 
 /** Tells homes and operators how a slice stands. */
 final class SliceStatusReporter {
-    private static final long FORGET_HOME_MILLIS = 10_000;
+    private static final long HOME_RETENTION_MILLIS = 10_000;
 
     private SliceStatusReporter() {}
 
     /** Sends the status to the homes that were heard from lately, and forgets the others. */
-    static void send(SliceOwner owner, SchedulerContext scene, long nowMillis) {
-        owner.lastContactMillis().values().removeIf(heardMillis -> nowMillis - heardMillis > FORGET_HOME_MILLIS);
+    static void send(SliceOwner owner, SchedulerContext context, long nowMillis) {
+        owner.lastContactMillis().values().removeIf(contactMillis -> nowMillis - contactMillis > HOME_RETENTION_MILLIS);
         if (owner.lastContactMillis().isEmpty()) {
             return;
         }
         SliceStatus status = status(owner, nowMillis);
         for (ProcessId home : owner.lastContactMillis().keySet()) {
-            scene.sendToEntry(home, Frame.newBuilder().setSliceStatus(status));
+            context.sendToEntry(home, Frame.newBuilder().setSliceStatus(status));
         }
     }
 
@@ -45,12 +45,12 @@
     }
 
     private static SliceStatus status(SliceOwner owner, long nowMillis) {
-        int free = owner.targets().candidates(nowMillis).stream()
+        int freeSlots = owner.targets().candidates(nowMillis).stream()
                 .mapToInt(candidate -> candidate.freeSlots())
                 .sum();
         SliceStatus.Builder status = SliceStatus.newBuilder()
                 .setSlice(owner.slice())
-                .setFreeSlots(free)
+                .setFreeSlots(freeSlots)
                 .setWaiting(owner.queue().size())
                 .setUsableTargets(owner.targets().usableCount())
                 .setTokensPerSecond(owner.targets().tokensPerSecond());
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SliceTargets.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SliceTargets.java
@@ -23,15 +23,15 @@
 /** Targets of one slice as its owner knows them. */
 final class SliceTargets {
     private final SliceId slice;
-    private final SchedulerContext scene;
-    private final HeldPledges book;
+    private final SchedulerContext context;
+    private final HeldPledges pledges;
     private final Map<String, TargetAccount> accounts = new TreeMap<>();
     private final Map<String, Boolean> usable = new LinkedHashMap<>();
 
-    SliceTargets(SliceId slice, SchedulerContext scene, HeldPledges book) {
+    SliceTargets(SliceId slice, SchedulerContext context, HeldPledges pledges) {
         this.slice = slice;
-        this.scene = scene;
-        this.book = book;
+        this.context = context;
+        this.pledges = pledges;
     }
 
     Collection<TargetAccount> accounts() {
@@ -52,17 +52,17 @@
 
     /** Takes in a new view; a target that comes back into service is treated as cold. */
     void update() {
-        Map<String, Boolean> before = new LinkedHashMap<>(usable);
+        Map<String, Boolean> usableBefore = new LinkedHashMap<>(usable);
         usable.clear();
-        for (Host host : scene.membership().targets(slice)) {
+        for (Host host : context.membership().targets(slice)) {
             String name = host.getName();
-            boolean now = scene.membership().isUsable(name);
-            usable.put(name, now);
-            Limits limits = scene.service(slice.getService()).getLimits();
+            boolean usableNow = context.membership().isUsable(name);
+            usable.put(name, usableNow);
+            Limits limits = context.service(slice.getService()).getLimits();
             accounts.computeIfAbsent(name, key -> new TargetAccount(key, limits))
                     .limit()
                     .updateBounds(limits);
-            if (now && !before.getOrDefault(name, true)) {
+            if (usableNow && !usableBefore.getOrDefault(name, true)) {
                 accounts.get(name).returnToService();
             }
         }
@@ -81,14 +81,16 @@
     }
 
     int freeSlots(TargetAccount account, long nowMillis) {
-        return isUsable(account.name()) ? account.freeSlots(share(account, nowMillis), scene.timings(), nowMillis) : 0;
+        return isUsable(account.name())
+                ? account.freeSlots(share(account, nowMillis), context.timings(), nowMillis)
+                : 0;
     }
 
     Optional<Slot> finish(ProcessId home, Finished finished, long nowMillis) {
         Optional<TargetAccount> account = account(finished.getTarget());
-        Optional<Slot> slot = account.flatMap(found -> found.finish(home, finished, scene.timings(), nowMillis));
+        Optional<Slot> slot = account.flatMap(found -> found.finish(home, finished, context.timings(), nowMillis));
         if (slot.isPresent() && !usable.containsKey(finished.getTarget())) {
-            accounts.values().removeIf(gone -> !usable.containsKey(gone.name()) && gone.inFlight() == 0);
+            accounts.values().removeIf(removable -> !usable.containsKey(removable.name()) && removable.inFlight() == 0);
         }
         return slot;
     }
@@ -100,11 +102,11 @@
     }
 
     void orphan(ProcessId home, long nowMillis) {
-        accounts.values().forEach(account -> account.orphan(home, scene.timings(), nowMillis));
+        accounts.values().forEach(account -> account.orphan(home, context.timings(), nowMillis));
     }
 
     void orphan(ProcessId home, long request, long nowMillis) {
-        accounts.values().forEach(account -> account.orphan(home, request, scene.timings(), nowMillis));
+        accounts.values().forEach(account -> account.orphan(home, request, context.timings(), nowMillis));
     }
 
     void expireOrphans(long nowMillis) {
@@ -148,8 +150,8 @@
     }
 
     private UsableShare share(TargetAccount account, long nowMillis) {
-        return (limit, measuredAtMillis) -> scene.views().belongsInAllViews(account.name(), slice, measuredAtMillis)
-                ? book.usableSlots(limit, measuredAtMillis, nowMillis)
+        return (limit, measuredAtMillis) -> context.views().belongsInAllViews(account.name(), slice, measuredAtMillis)
+                ? pledges.usableSlots(limit, measuredAtMillis, nowMillis)
                 : 0;
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/Timings.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/Timings.java
@@ -22,8 +22,8 @@
     /** Time that a request sent in the last instant of its grant may take until its target counts it. */
     public static final long MAX_TRANSIT_MILLIS = 250;
 
-    private static final long STALE_READINGS = 3;
-    private static final double PARTS = 1_000_000;
+    private static final long MAX_LOAD_AGE_FACTOR = 3;
+    private static final double PARTS_PER_MILLION = 1_000_000;
 
     /**
      * Takes the times from the document.
@@ -48,7 +48,7 @@
      * @return upper bound in milliseconds
      */
     public long upperBoundMillis(long millis) {
-        return millis + (long) Math.ceil(millis * (clockRatePpm / PARTS));
+        return millis + (long) Math.ceil(millis * (clockRatePpm / PARTS_PER_MILLION));
     }
 
     /**
@@ -58,7 +58,7 @@
      * @return lower bound in milliseconds
      */
     public long lowerBoundMillis(long millis) {
-        return millis - (long) Math.ceil(millis * (clockRatePpm / PARTS));
+        return millis - (long) Math.ceil(millis * (clockRatePpm / PARTS_PER_MILLION));
     }
 
     /**
@@ -76,6 +76,6 @@
      * @return milliseconds
      */
     public long maxLoadAgeMillis() {
-        return STALE_READINGS * Math.max(loadLagMillis, grantMillis);
+        return MAX_LOAD_AGE_FACTOR * Math.max(loadLagMillis, grantMillis);
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/floor/AdmissionFloors.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/floor/AdmissionFloors.java
@@ -21,20 +21,20 @@
     /** How long a floor stands at others without being renewed. */
     public static final long VALIDITY_MILLIS = 3_000;
 
-    private static final long RENEW_MILLIS = 1_000;
-    private static final long LINGER_MILLIS = 2_000;
+    private static final long RENEW_INTERVAL_MILLIS = 1_000;
+    private static final long LOWERING_DELAY_MILLIS = 2_000;
 
-    private final Map<String, Raised> raised = new HashMap<>();
-    private final Map<Standing, Until> standing = new HashMap<>();
-    private long nextFloor;
+    private final Map<String, LocalFloor> localFloors = new HashMap<>();
+    private final Map<RemoteFloorKey, RemoteFloor> remoteFloors = new HashMap<>();
+    private long nextNumber;
 
     /**
      * Creates the floors of a process.
      *
-     * @param firstFloor number of the first floor that is raised; differs between processes
+     * @param firstNumber number of the first floor that is raised; differs between processes
      */
-    public AdmissionFloors(long firstFloor) {
-        this.nextFloor = firstFloor;
+    public AdmissionFloors(long firstNumber) {
+        this.nextNumber = firstNumber;
     }
 
     /**
@@ -46,12 +46,12 @@
      * @return true when the floor is new or higher than before, so that others must be told
      */
     public boolean raise(String service, int rank, long nowMillis) {
-        Raised old = raised.get(service);
-        if (old != null && old.rank >= rank) {
-            old.neededAtMillis = nowMillis;
+        LocalFloor current = localFloors.get(service);
+        if (current != null && current.rank >= rank) {
+            current.neededAtMillis = nowMillis;
             return false;
         }
-        raised.put(service, new Raised(nextFloor++, rank, nowMillis));
+        localFloors.put(service, new LocalFloor(nextNumber++, rank, nowMillis));
         return true;
     }
 
@@ -62,7 +62,7 @@
      * @param nowMillis time now
      */
     public void extend(String service, long nowMillis) {
-        Raised floor = raised.get(service);
+        LocalFloor floor = localFloors.get(service);
         if (floor != null) {
             floor.neededAtMillis = nowMillis;
         }
@@ -77,14 +77,14 @@
      * @return the message
      */
     public FloorRaise announce(String service, Set<String> owners, long nowMillis) {
-        Raised floor = raised.get(service);
+        LocalFloor floor = localFloors.get(service);
         floor.asked.addAll(owners);
         floor.announcedAtMillis = nowMillis;
         return FloorRaise.newBuilder()
                 .setService(service)
                 .setRank(floor.rank)
                 .setGoodMillis(VALIDITY_MILLIS)
-                .setFloor(floor.floor)
+                .setFloor(floor.number)
                 .build();
     }
 
@@ -95,13 +95,13 @@
      * @return names of services
      */
     public List<String> servicesToAnnounce(long nowMillis) {
-        List<String> due = new ArrayList<>();
-        raised.forEach((service, floor) -> {
-            if (nowMillis - floor.announcedAtMillis >= RENEW_MILLIS) {
-                due.add(service);
+        List<String> services = new ArrayList<>();
+        localFloors.forEach((service, floor) -> {
+            if (nowMillis - floor.announcedAtMillis >= RENEW_INTERVAL_MILLIS) {
+                services.add(service);
             }
         });
-        return due;
+        return services;
     }
 
     /**
@@ -112,14 +112,14 @@
      */
     public Map<String, Long> lowerUnneeded(long nowMillis) {
         Map<String, Long> lowered = new HashMap<>();
-        raised.entrySet().removeIf(entry -> {
-            boolean over = nowMillis - entry.getValue().neededAtMillis > LINGER_MILLIS;
-            if (over) {
-                lowered.put(entry.getKey(), entry.getValue().floor);
+        localFloors.entrySet().removeIf(entry -> {
+            boolean unneeded = nowMillis - entry.getValue().neededAtMillis > LOWERING_DELAY_MILLIS;
+            if (unneeded) {
+                lowered.put(entry.getKey(), entry.getValue().number);
             }
-            return over;
+            return unneeded;
         });
-        standing.values().removeIf(until -> until.millis() <= nowMillis);
+        remoteFloors.values().removeIf(remoteFloor -> remoteFloor.expiryMillis() <= nowMillis);
         return lowered;
     }
 
@@ -130,8 +130,8 @@
      * @param cleared its answer
      */
     public void recordCleared(String host, FloorCleared cleared) {
-        Raised floor = raised.get(cleared.getService());
-        if (floor != null && floor.floor == cleared.getFloor()) {
+        LocalFloor floor = localFloors.get(cleared.getService());
+        if (floor != null && floor.number == cleared.getFloor()) {
             floor.cleared.add(host);
         }
     }
@@ -147,7 +147,7 @@
      * @return true when nothing below the rank is kept by those that can be reached
      */
     public boolean mayShed(String service, int rank, Set<String> reachable, Timings timings, long nowMillis) {
-        Raised floor = raised.get(service);
+        LocalFloor floor = localFloors.get(service);
         if (floor == null || floor.rank < rank) {
             return false;
         }
@@ -164,8 +164,8 @@
      * @param nowMillis time now
      */
     public void addRemote(String host, FloorRaise raise, long nowMillis) {
-        Standing key = new Standing(host, raise.getService(), raise.getFloor());
-        standing.put(key, new Until(raise.getRank(), nowMillis + raise.getGoodMillis()));
+        RemoteFloorKey key = new RemoteFloorKey(host, raise.getService(), raise.getFloor());
+        remoteFloors.put(key, new RemoteFloor(raise.getRank(), nowMillis + raise.getGoodMillis()));
     }
 
     /**
@@ -176,7 +176,7 @@
      * @param floor number of the floor
      */
     public void removeRemote(String host, String service, long floor) {
-        standing.remove(new Standing(host, service, floor));
+        remoteFloors.remove(new RemoteFloorKey(host, service, floor));
     }
 
     /**
@@ -187,24 +187,24 @@
      * @return the highest rank of all floors that stand; 0 when none does
      */
     public int effectiveRank(String service, long nowMillis) {
-        Raised own = raised.get(service);
-        int rank = own == null ? 0 : own.rank;
-        for (Map.Entry<Standing, Until> entry : standing.entrySet()) {
+        LocalFloor localFloor = localFloors.get(service);
+        int rank = localFloor == null ? 0 : localFloor.rank;
+        for (Map.Entry<RemoteFloorKey, RemoteFloor> entry : remoteFloors.entrySet()) {
             if (entry.getKey().service().equals(service)
-                    && nowMillis < entry.getValue().millis()) {
+                    && nowMillis < entry.getValue().expiryMillis()) {
                 rank = Math.max(rank, entry.getValue().rank());
             }
         }
         return rank;
     }
 
-    private record Standing(String host, String service, long floor) {}
+    private record RemoteFloorKey(String host, String service, long floor) {}
 
-    private record Until(int rank, long millis) {}
+    private record RemoteFloor(int rank, long expiryMillis) {}
 
     /** Floor that this process has raised. */
-    private static final class Raised {
-        private final long floor;
+    private static final class LocalFloor {
+        private final long number;
         private final int rank;
         private final long raisedAtMillis;
         private final Set<String> asked = new HashSet<>();
@@ -212,8 +212,8 @@
         private long neededAtMillis;
         private long announcedAtMillis;
 
-        Raised(long floor, int rank, long nowMillis) {
-            this.floor = floor;
+        LocalFloor(long number, int rank, long nowMillis) {
+            this.number = number;
             this.rank = rank;
             this.raisedAtMillis = nowMillis;
             this.neededAtMillis = nowMillis;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ConcurrencyLimit.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ConcurrencyLimit.java
@@ -10,23 +10,23 @@
  * target seems to have started anew.
  */
 public final class ConcurrencyLimit {
-    private static final double SMOOTHING = 0.3;
-    private static final double STEP_BACK = 0.75;
-    private static final double HALF = 0.5;
-    private static final double BEST_AGEING = 1.002;
-    private static final double COLD_STEP = 2.0;
-    private static final int COLD_SAMPLES = 2;
-    private static final int BASE_WORK = 4;
-    private static final double PREFILL_WORK = 1.0 / 16;
+    private static final double SMOOTHING_FACTOR = 0.3;
+    private static final double DECREASE_FACTOR = 0.75;
+    private static final double REFUSAL_FACTOR = 0.5;
+    private static final double BASELINE_GROWTH_FACTOR = 1.002;
+    private static final double COLD_SLOWDOWN_FACTOR = 2.0;
+    private static final int COLD_RESET_SAMPLES = 2;
+    private static final int BASE_WORK_UNITS = 4;
+    private static final double WORK_UNITS_PER_PREFILL_TOKEN = 1.0 / 16;
 
     private Limits limits;
     private int value;
-    private int slowStartUntil;
-    private int credit;
-    private int sinceStepBack;
-    private int suddenlySlow;
-    private double smoothedMillis;
-    private double bestMillis;
+    private int slowStartThreshold;
+    private int fullSamples;
+    private int samplesSinceDecrease;
+    private int consecutiveSlowSamples;
+    private double smoothedUnitMillis;
+    private double baselineUnitMillis;
 
     /**
      * Creates the limit of a target that is taken to be cold.
@@ -47,7 +47,7 @@
         if (!newLimits.equals(limits)) {
             limits = newLimits;
             value = Math.min(value, limits.getMost());
-            slowStartUntil = Math.max(value, Math.min(slowStartUntil, limits.getMost()));
+            slowStartThreshold = Math.max(value, Math.min(slowStartThreshold, limits.getMost()));
         }
     }
 
@@ -75,23 +75,23 @@
      * @return true until the first step back, or until the bound is reached
      */
     public boolean isInSlowStart() {
-        return value < slowStartUntil;
+        return value < slowStartThreshold;
     }
 
     /** Falls back to the cold value and forgets how fast the target was. */
     public void resetToCold() {
         value = Math.min(limits.getCold(), limits.getMost());
-        slowStartUntil = limits.getMost();
-        credit = 0;
-        sinceStepBack = 0;
-        suddenlySlow = 0;
-        smoothedMillis = 0;
-        bestMillis = 0;
+        slowStartThreshold = limits.getMost();
+        fullSamples = 0;
+        samplesSinceDecrease = 0;
+        consecutiveSlowSamples = 0;
+        smoothedUnitMillis = 0;
+        baselineUnitMillis = 0;
     }
 
     /** Halves the limit after the target refused a request. */
     public void onRefused() {
-        shrink(HALF);
+        shrink(REFUSAL_FACTOR);
     }
 
     /**
@@ -101,12 +101,12 @@
      * @param running requests that the target ran while others waited there
      */
     public void onQueued(int running) {
-        int bears = Math.max(Math.min(limits.getCold(), limits.getMost()), running);
-        if (value > bears) {
-            value = bears;
-            slowStartUntil = value;
-            credit = 0;
-            sinceStepBack = 0;
+        int newValue = Math.max(Math.min(limits.getCold(), limits.getMost()), running);
+        if (value > newValue) {
+            value = newValue;
+            slowStartThreshold = value;
+            fullSamples = 0;
+            samplesSinceDecrease = 0;
         }
     }
 
@@ -114,67 +114,72 @@
      * Learns from a completed request.
      *
      * @param sample what it took
-     * @param wasFull true when the limit was nearly used up while it ran, so that the sample says something about
+     * @param limitReached true when the limit was nearly used up while it ran, so that the sample says something about
      *     growth
      */
-    public void onCompleted(CompletionSample sample, boolean wasFull) {
+    public void onCompleted(CompletionSample sample, boolean limitReached) {
         double unitMillis = unitMillis(sample);
-        if (isSuddenlySlow(unitMillis)) {
-            suddenlySlow++;
-            if (suddenlySlow >= COLD_SAMPLES) {
+        if (isSuddenlySlower(unitMillis)) {
+            consecutiveSlowSamples++;
+            if (consecutiveSlowSamples >= COLD_RESET_SAMPLES) {
                 resetToCold();
             }
             return;
         }
-        suddenlySlow = 0;
+        consecutiveSlowSamples = 0;
         smooth(unitMillis);
-        sinceStepBack++;
-        if (smoothedMillis > limits.getSlowFactor() * bestMillis) {
-            stepBack();
-        } else if (wasFull) {
-            grow();
+        samplesSinceDecrease++;
+        if (smoothedUnitMillis > limits.getSlowFactor() * baselineUnitMillis) {
+            decreaseOnce();
+        } else if (limitReached) {
+            increase();
         }
     }
 
     private static double unitMillis(CompletionSample sample) {
-        double work = BASE_WORK + sample.answerTokens() + sample.prefillTokens() * PREFILL_WORK;
-        return Math.max(1, sample.totalMillis()) / work;
+        double workUnits =
+                BASE_WORK_UNITS + sample.answerTokens() + sample.prefillTokens() * WORK_UNITS_PER_PREFILL_TOKEN;
+        return Math.max(1, sample.totalMillis()) / workUnits;
     }
 
-    private boolean isSuddenlySlow(double unitMillis) {
+    private boolean isSuddenlySlower(double unitMillis) {
         return value > limits.getCold()
-                && smoothedMillis > 0
-                && unitMillis > COLD_STEP * limits.getSlowFactor() * smoothedMillis;
+                && smoothedUnitMillis > 0
+                && unitMillis > COLD_SLOWDOWN_FACTOR * limits.getSlowFactor() * smoothedUnitMillis;
     }
 
     private void smooth(double unitMillis) {
-        smoothedMillis = smoothedMillis == 0 ? unitMillis : smoothedMillis + SMOOTHING * (unitMillis - smoothedMillis);
+        smoothedUnitMillis = smoothedUnitMillis == 0
+                ? unitMillis
+                : smoothedUnitMillis + SMOOTHING_FACTOR * (unitMillis - smoothedUnitMillis);
         // The best ages, since a target that became slower for good would otherwise be held down for ever.
-        bestMillis = bestMillis == 0 ? smoothedMillis : Math.min(bestMillis * BEST_AGEING, smoothedMillis);
+        baselineUnitMillis = baselineUnitMillis == 0
+                ? smoothedUnitMillis
+                : Math.min(baselineUnitMillis * BASELINE_GROWTH_FACTOR, smoothedUnitMillis);
     }
 
-    private void stepBack() {
+    private void decreaseOnce() {
         // What completes now was admitted before the last step back took effect; it says nothing about the new limit.
-        if (sinceStepBack > value) {
-            shrink(STEP_BACK);
+        if (samplesSinceDecrease > value) {
+            shrink(DECREASE_FACTOR);
         }
     }
 
     private void shrink(double factor) {
         value = Math.max(Math.min(limits.getCold(), limits.getMost()), (int) (value * factor));
-        slowStartUntil = value;
-        credit = 0;
-        sinceStepBack = 0;
+        slowStartThreshold = value;
+        fullSamples = 0;
+        samplesSinceDecrease = 0;
     }
 
-    private void grow() {
+    private void increase() {
         if (value >= limits.getMost()) {
             return;
         }
-        credit++;
-        if (value < slowStartUntil || credit >= value) {
+        fullSamples++;
+        if (value < slowStartThreshold || fullSamples >= value) {
             value++;
-            credit = 0;
+            fullSamples = 0;
         }
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ForeignLoadEstimator.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ForeignLoadEstimator.java
@@ -14,68 +14,68 @@
  * older than a pledge say nothing about what was granted before the pledge.
  */
 final class ForeignLoadEstimator {
-    private static final int MOST_READINGS = 16;
-    private static final int MOST_ENDED = 256;
+    private static final int MAX_READINGS = 16;
+    private static final int MAX_ENDED = 256;
 
     private final Deque<Bound> bounds = new ArrayDeque<>();
-    private final Deque<Ended> addEnded = new ArrayDeque<>();
-    private Bound best;
+    private final Deque<Ended> endedRequests = new ArrayDeque<>();
+    private Bound tightest;
 
     void reset() {
         bounds.clear();
-        addEnded.clear();
-        best = null;
+        endedRequests.clear();
+        tightest = null;
     }
 
     void addReading(LoadReading reading, List<Slot> slots, Timings timings) {
         bounds.addLast(new Bound(reading));
-        if (bounds.size() > MOST_READINGS) {
-            keep(bounds.removeFirst());
+        if (bounds.size() > MAX_READINGS) {
+            keepTightest(bounds.removeFirst());
         }
         long oldestMillis = bounds.getFirst().reading.earliestMillis();
-        addEnded.removeIf(end -> end.endedAtMillis() < oldestMillis);
+        endedRequests.removeIf(end -> end.endedAtMillis() < oldestMillis);
         for (Bound bound : bounds) {
-            bound.count(slots, addEnded, timings);
+            bound.count(slots, endedRequests, timings);
         }
     }
 
     void addEnded(Slot slot, long totalMillis, boolean sent, long nowMillis) {
-        addEnded.addLast(new Ended(slot.grantedAtMillis(), nowMillis, totalMillis, sent));
-        if (addEnded.size() > MOST_ENDED) {
-            addEnded.removeFirst();
+        endedRequests.addLast(new Ended(slot.grantedAtMillis(), nowMillis, totalMillis, sent));
+        if (endedRequests.size() > MAX_ENDED) {
+            endedRequests.removeFirst();
         }
     }
 
     /** Adds requests that were counted as the owner's own and whose end it will never hear of. */
     void addAbandoned(int count) {
-        bounds.forEach(bound -> bound.extra += count);
-        if (best != null) {
-            best.extra += count;
+        bounds.forEach(bound -> bound.abandoned += count);
+        if (tightest != null) {
+            tightest.abandoned += count;
         }
     }
 
     int upperBound(int limit, UsableShare share) {
-        int smallest = best == null ? Integer.MAX_VALUE : best.now(limit, share);
+        int smallest = tightest == null ? Integer.MAX_VALUE : tightest.currentBound(limit, share);
         for (Bound bound : bounds) {
-            smallest = Math.min(smallest, bound.now(limit, share));
+            smallest = Math.min(smallest, bound.currentBound(limit, share));
         }
         return smallest;
     }
 
     /** Returns how many requests the last reading shows that cannot be the owner's own. */
-    int lowerBound(LoadReading last, int ownSlots) {
-        int maybeOwn = ownSlots;
-        for (Ended end : addEnded) {
+    int lowerBound(LoadReading last, int takenSlots) {
+        int maxOwnRequests = takenSlots;
+        for (Ended end : endedRequests) {
             if (end.endedAtMillis() >= last.earliestMillis()) {
-                maybeOwn++;
+                maxOwnRequests++;
             }
         }
-        return Math.max(0, last.total() - maybeOwn);
+        return Math.max(0, last.total() - maxOwnRequests);
     }
 
-    private void keep(Bound bound) {
-        if (best == null || bound.total() <= best.total()) {
-            best = bound;
+    private void keepTightest(Bound bound) {
+        if (tightest == null || bound.total() <= tightest.total()) {
+            tightest = bound;
         }
     }
 
@@ -83,18 +83,18 @@
         // The home measured how long the request ran: so it was sent that long before its end was heard of at the
         // latest,
         // and it ended that long after its grant at the earliest.
-        boolean surelyAt(LoadReading reading, Timings timings) {
-            long ranMillis = timings.lowerBoundMillis(totalMillis);
+        boolean wasInFlightAt(LoadReading reading, Timings timings) {
+            long minRunMillis = timings.lowerBoundMillis(totalMillis);
             return sent
-                    && endedAtMillis - ranMillis + Timings.MAX_TRANSIT_MILLIS <= reading.earliestMillis()
-                    && reading.latestMillis() <= grantedAtMillis + ranMillis;
+                    && endedAtMillis - minRunMillis + Timings.MAX_TRANSIT_MILLIS <= reading.earliestMillis()
+                    && reading.latestMillis() <= grantedAtMillis + minRunMillis;
         }
     }
 
     private static final class Bound {
         private final LoadReading reading;
         private int foreign;
-        private int extra;
+        private int abandoned;
 
         Bound(LoadReading reading) {
             this.reading = reading;
@@ -102,27 +102,27 @@
         }
 
         void count(List<Slot> slots, Deque<Ended> ended, Timings timings) {
-            int own = 0;
+            int ownRequests = 0;
             for (Slot slot : slots) {
                 if (slot.latestArrivalMillis() <= reading.earliestMillis()) {
-                    own++;
+                    ownRequests++;
                 }
             }
             for (Ended end : ended) {
-                if (end.surelyAt(reading, timings)) {
-                    own++;
+                if (end.wasInFlightAt(reading, timings)) {
+                    ownRequests++;
                 }
             }
             // What was once known to be the owner's own stays so, also when it has ended since and is counted no more.
-            foreign = Math.min(foreign, Math.max(0, reading.total() - own));
+            foreign = Math.min(foreign, Math.max(0, reading.total() - ownRequests));
         }
 
         int total() {
-            return foreign + extra;
+            return foreign + abandoned;
         }
 
         // Others may have granted, since the reading, what this owner could not use at the time of the reading.
-        int now(int limit, UsableShare share) {
+        int currentBound(int limit, UsableShare share) {
             int usable = share.usableSlots(limit, reading.earliestMillis());
             return usable <= 0 ? Integer.MAX_VALUE : Math.max(total(), limit - usable);
         }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/LoadReading.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/LoadReading.java
@@ -19,17 +19,17 @@
      * Reads an answer of a target.
      *
      * @param load the answer
-     * @param askedAtMillis when it was asked
-     * @param answeredAtMillis when the answer came
+     * @param requestedAtMillis when it was asked
+     * @param receivedAtMillis when the answer came
      * @return the reading
      */
-    public static LoadReading of(TargetLoad load, long askedAtMillis, long answeredAtMillis) {
+    public static LoadReading of(TargetLoad load, long requestedAtMillis, long receivedAtMillis) {
         return new LoadReading(
                 load.getStartNumber(),
                 load.getRunning() + load.getQueued(),
                 load.getQueued(),
-                askedAtMillis - load.getAgeMillis(),
-                answeredAtMillis - load.getAgeMillis(),
+                requestedAtMillis - load.getAgeMillis(),
+                receivedAtMillis - load.getAgeMillis(),
                 List.copyOf(load.getModelsList()));
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/Slot.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/Slot.java
@@ -22,16 +22,16 @@
             long request,
             long grant,
             long grantedAtMillis,
-            long surelySentAtMillis,
+            long latestArrivalMillis,
             WaitingRequest waiting,
-            boolean full) {
+            boolean limitReached) {
         this.home = home;
         this.request = request;
         this.grant = grant;
         this.grantedAtMillis = grantedAtMillis;
-        this.latestArrivalMillis = surelySentAtMillis;
+        this.latestArrivalMillis = latestArrivalMillis;
         this.waiting = waiting;
-        this.limitReached = full;
+        this.limitReached = limitReached;
     }
 
     /**
@@ -99,7 +99,7 @@
         return orphanExpiryMillis;
     }
 
-    void orphan(long untilMillis) {
-        orphanExpiryMillis = Math.min(orphanExpiryMillis, untilMillis);
+    void orphan(long expiryMillis) {
+        orphanExpiryMillis = Math.min(orphanExpiryMillis, expiryMillis);
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/TargetAccount.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/TargetAccount.java
@@ -16,9 +16,9 @@
 
 /** What the owner of a slice knows of one target: its limit, its speed and what is in flight there. */
 public final class TargetAccount {
-    private static final int QUEUED_READINGS = 3;
+    private static final int MIN_QUEUED_READINGS = 3;
     // Targets report late and may tell the same measurement several times.
-    private static final long SAME_READING_MILLIS = 100;
+    private static final long MIN_READING_INTERVAL_MILLIS = 100;
 
     private static final long NONE = Long.MIN_VALUE;
 
@@ -27,11 +27,11 @@
     private final TargetSpeed speed = new TargetSpeed();
     private final CachedPrefixes prefixes = new CachedPrefixes();
     private final List<Slot> slots = new ArrayList<>();
-    private final ForeignLoadEstimator foreign = new ForeignLoadEstimator();
-    private LoadReading last;
+    private final ForeignLoadEstimator foreignLoad = new ForeignLoadEstimator();
+    private LoadReading latest;
     private int queuedReadings;
-    private int mostRunning;
-    private long queuedAtMillis;
+    private int maxRunning;
+    private long lastQueuedReadingMillis;
     private long suspectSinceMillis = NONE;
 
     /**
@@ -87,7 +87,7 @@
      * @return reading; empty when there is none since the target was last lost sight of
      */
     public Optional<LoadReading> lastReading() {
-        return Optional.ofNullable(last);
+        return Optional.ofNullable(latest);
     }
 
     /**
@@ -107,9 +107,9 @@
      */
     public boolean serves(String model) {
         return model.isEmpty()
-                || last == null
-                || last.models().isEmpty()
-                || last.models().contains(model);
+                || latest == null
+                || latest.models().isEmpty()
+                || latest.models().contains(model);
     }
 
     /**
@@ -124,10 +124,11 @@
         if (!hasCurrentLoad(timings, nowMillis)) {
             return 0;
         }
-        int bears = limit.value();
-        int usable = share.usableSlots(bears, last.earliestMillis());
-        int others = Math.max(foreign.upperBound(bears, share), foreign.lowerBound(last, slots.size()));
-        return Math.max(0, Math.min(usable, bears - Math.min(bears, others)) - slots.size());
+        int limitValue = limit.value();
+        int usable = share.usableSlots(limitValue, latest.earliestMillis());
+        int foreignRequests =
+                Math.max(foreignLoad.upperBound(limitValue, share), foreignLoad.lowerBound(latest, slots.size()));
+        return Math.max(0, Math.min(usable, limitValue - Math.min(limitValue, foreignRequests)) - slots.size());
     }
 
     /**
@@ -138,9 +139,9 @@
      * @return false when nothing may be sent to the target
      */
     public boolean hasCurrentLoad(Timings timings, long nowMillis) {
-        return last != null
-                && last.earliestMillis() >= nowMillis - timings.maxLoadAgeMillis()
-                && last.earliestMillis() > suspectSinceMillis;
+        return latest != null
+                && latest.earliestMillis() >= nowMillis - timings.maxLoadAgeMillis()
+                && latest.earliestMillis() > suspectSinceMillis;
     }
 
     /**
@@ -148,13 +149,14 @@
      *
      * @param waiting the request
      * @param grant id of the grant
-     * @param full true when this uses up the limit
+     * @param limitReached true when this uses up the limit
      * @param timings times in force
      * @param nowMillis time now
      */
-    public void grant(WaitingRequest waiting, long grant, boolean full, Timings timings, long nowMillis) {
-        long sentAtMillis = nowMillis + timings.grantExpiryMillis();
-        slots.add(new Slot(waiting.home(), waiting.request(), grant, nowMillis, sentAtMillis, waiting, full));
+    public void grant(WaitingRequest waiting, long grant, boolean limitReached, Timings timings, long nowMillis) {
+        long latestArrivalMillis = nowMillis + timings.grantExpiryMillis();
+        slots.add(new Slot(
+                waiting.home(), waiting.request(), grant, nowMillis, latestArrivalMillis, waiting, limitReached));
     }
 
     /**
@@ -223,7 +225,7 @@
         slots.removeIf(slot -> slot.orphanExpiryMillis() <= nowMillis);
         int abandoned = before - slots.size();
         if (abandoned > 0) {
-            foreign.addAbandoned(abandoned);
+            foreignLoad.addAbandoned(abandoned);
         }
     }
 
@@ -255,47 +257,47 @@
      * Takes in a load reading.
      *
      * @param load the target's answer
-     * @param askedAtMillis when it was asked
-     * @param answeredAtMillis when the answer came
+     * @param requestedAtMillis when it was asked
+     * @param receivedAtMillis when the answer came
      * @param timings times in force
      */
-    public void addReading(TargetLoad load, long askedAtMillis, long answeredAtMillis, Timings timings) {
-        LoadReading reading = LoadReading.of(load, askedAtMillis, answeredAtMillis);
-        if (last != null && reading.earliestMillis() < last.earliestMillis()) {
+    public void addReading(TargetLoad load, long requestedAtMillis, long receivedAtMillis, Timings timings) {
+        LoadReading reading = LoadReading.of(load, requestedAtMillis, receivedAtMillis);
+        if (latest != null && reading.earliestMillis() < latest.earliestMillis()) {
             return;
         }
-        if (last != null && last.startNumber() != reading.startNumber()) {
+        if (latest != null && latest.startNumber() != reading.startNumber()) {
             restarted();
         }
-        last = reading;
-        queueSeen(reading);
-        foreign.addReading(reading, slots, timings);
+        latest = reading;
+        updateQueuedReadings(reading);
+        foreignLoad.addReading(reading, slots, timings);
     }
 
     // A request that has just arrived shows as queued for a moment although a place is free. Were a single reading
     // believed, the limit would fall whenever one is taken at such a moment, and engines would stand half idle; so only
     // a queue that several readings in a row show counts, and the most that ran meanwhile.
-    private void queueSeen(LoadReading reading) {
+    private void updateQueuedReadings(LoadReading reading) {
         if (reading.queued() == 0) {
             queuedReadings = 0;
-            mostRunning = 0;
+            maxRunning = 0;
             return;
         }
-        if (queuedReadings > 0 && reading.earliestMillis() - queuedAtMillis < SAME_READING_MILLIS) {
+        if (queuedReadings > 0 && reading.earliestMillis() - lastQueuedReadingMillis < MIN_READING_INTERVAL_MILLIS) {
             return;
         }
-        queuedAtMillis = reading.earliestMillis();
+        lastQueuedReadingMillis = reading.earliestMillis();
         queuedReadings++;
-        mostRunning = Math.max(mostRunning, reading.total() - reading.queued());
-        if (queuedReadings >= QUEUED_READINGS) {
-            limit.onQueued(mostRunning);
+        maxRunning = Math.max(maxRunning, reading.total() - reading.queued());
+        if (queuedReadings >= MIN_QUEUED_READINGS) {
+            limit.onQueued(maxRunning);
         }
     }
 
     /** Notes that the target's load could not be read; nothing is granted until it can be. */
     public void loadUnavailable() {
-        if (last != null) {
-            suspectSinceMillis = Math.max(suspectSinceMillis, last.earliestMillis());
+        if (latest != null) {
+            suspectSinceMillis = Math.max(suspectSinceMillis, latest.earliestMillis());
         }
     }
 
@@ -306,24 +308,24 @@
 
     private void restarted() {
         queuedReadings = 0;
-        mostRunning = 0;
+        maxRunning = 0;
         limit.resetToCold();
         prefixes.clear();
-        foreign.reset();
+        foreignLoad.reset();
     }
 
     private void orphan(Predicate<Slot> which, Timings timings, long nowMillis) {
-        long untilMillis = nowMillis + timings.grantExpiryMillis();
-        slots.stream().filter(which).forEach(slot -> slot.orphan(untilMillis));
+        long expiryMillis = nowMillis + timings.grantExpiryMillis();
+        slots.stream().filter(which).forEach(slot -> slot.orphan(expiryMillis));
     }
 
     private void end(Slot slot, Finished finished, Timings timings, long nowMillis) {
         slots.remove(slot);
         boolean unused = finished.getKind() == FinishKind.UNUSED;
-        foreign.addEnded(slot, finished.getTotalMillis(), !unused, nowMillis);
+        foreignLoad.addEnded(slot, finished.getTotalMillis(), !unused, nowMillis);
         if (unused && slot.latestArrivalMillis() <= nowMillis) {
             // It was subtracted from readings as surely sent, and it was not.
-            foreign.addAbandoned(1);
+            foreignLoad.addAbandoned(1);
         }
         learn(slot, finished, nowMillis);
     }
@@ -338,7 +340,7 @@
             case FAILED -> suspectSinceMillis = nowMillis;
             case LOST -> {
                 // The link broke, the work may go on; only a reading taken from now on shows it.
-                foreign.addAbandoned(1);
+                foreignLoad.addAbandoned(1);
                 suspectSinceMillis = nowMillis;
             }
             default -> {
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/CachedPrefixes.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/CachedPrefixes.java
@@ -17,17 +17,17 @@
     /** Prompt tokens that one more digest stands for. */
     public static final int BLOCK_TOKENS = 64;
 
-    private static final int MOST = 8192;
-    private static final float LOAD = 0.75f;
-    private static final int RADIX = 16;
+    private static final int MAX_DIGESTS = 8192;
+    private static final float LOAD_FACTOR = 0.75f;
+    private static final int DIGEST_RADIX = 16;
 
-    private final Map<Long, Boolean> held = new Recent();
+    private final Map<Long, Boolean> digests = new LruMap();
     private long startNumber;
     private long lastEventNumber;
 
     /** Forgets all, for example after the target started anew. */
     public void clear() {
-        held.clear();
+        digests.clear();
         lastEventNumber = 0;
     }
 
@@ -52,7 +52,7 @@
         }
         for (CacheEvent event : events.getEventsList()) {
             lastEventNumber = Math.max(lastEventNumber, event.getNumber());
-            parse(event);
+            apply(event);
         }
     }
 
@@ -66,7 +66,7 @@
     public int uncachedTokens(List<Long> prefixes, int promptTokens) {
         int blocks = 0;
         for (Long prefix : prefixes) {
-            if (held.get(prefix) == null) {
+            if (digests.get(prefix) == null) {
                 break;
             }
             blocks++;
@@ -81,16 +81,16 @@
      */
     public void addServed(List<Long> prefixes) {
         // Served prompts are in the cache now, whatever was believed before and whatever their events say later.
-        prefixes.forEach(prefix -> held.put(prefix, Boolean.TRUE));
+        prefixes.forEach(prefix -> digests.put(prefix, Boolean.TRUE));
     }
 
-    private void parse(CacheEvent event) {
+    private void apply(CacheEvent event) {
         try {
-            long digest = Long.parseUnsignedLong(event.getDigest(), RADIX);
+            long digest = Long.parseUnsignedLong(event.getDigest(), DIGEST_RADIX);
             if (event.getStored()) {
-                held.put(digest, Boolean.TRUE);
+                digests.put(digest, Boolean.TRUE);
             } else {
-                held.remove(digest);
+                digests.remove(digest);
             }
         } catch (NumberFormatException malformed) {
             // A digest of another form matches no prompt; the rest of the events is still of use.
@@ -99,16 +99,16 @@
     }
 
     /** Keeps the prefixes that were used last. */
-    private static final class Recent extends LinkedHashMap<Long, Boolean> {
+    private static final class LruMap extends LinkedHashMap<Long, Boolean> {
         private static final long serialVersionUID = 1L;
 
-        Recent() {
-            super(MOST / BLOCK_TOKENS, LOAD, true);
+        LruMap() {
+            super(MAX_DIGESTS / BLOCK_TOKENS, LOAD_FACTOR, true);
         }
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-            return size() > MOST;
+            return size() > MAX_DIGESTS;
         }
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/PlacementStrategy.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/PlacementStrategy.java
@@ -21,7 +21,7 @@
     LEAST_REPORTED {
         @Override
         public Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state) {
-            return least(candidates, candidate -> reported(candidate.account()));
+            return minBy(candidates, candidate -> reportedLoad(candidate.account()));
         }
     },
     /** Takes the less loaded of two random targets. */
@@ -30,19 +30,19 @@
         public Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state) {
             Candidate one = candidates.get(state.random(candidates.size()));
             Candidate other = candidates.get(state.random(candidates.size()));
-            return reported(other.account()) < reported(one.account()) ? other : one;
+            return reportedLoad(other.account()) < reportedLoad(one.account()) ? other : one;
         }
     },
     /** Takes the target with the least expected time, counting the prefill that its cache spares. */
     SCORE {
         @Override
         public Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state) {
-            Average average = Average.of(candidates);
-            return least(candidates, candidate -> scoreMillis(candidate, waiting, average));
+            AverageSpeed average = AverageSpeed.of(candidates);
+            return minBy(candidates, candidate -> scoreMillis(candidate, waiting, average));
         }
     };
 
-    private static final double CROWDING = 0.25;
+    private static final double CROWDING_WEIGHT = 0.25;
 
     /**
      * Finds a way by its name in the settings.
@@ -65,42 +65,42 @@
      */
     public abstract Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state);
 
-    private static Candidate least(List<Candidate> candidates, ToDoubleFunction<Candidate> price) {
+    private static Candidate minBy(List<Candidate> candidates, ToDoubleFunction<Candidate> cost) {
         return candidates.stream()
-                .min(Comparator.comparingDouble(price)
+                .min(Comparator.comparingDouble(cost)
                         .thenComparing(candidate -> candidate.account().name()))
                 .orElseThrow();
     }
 
-    private static int reported(TargetAccount account) {
+    private static int reportedLoad(TargetAccount account) {
         return account.lastReading().map(LoadReading::total).orElse(0);
     }
 
-    private static double scoreMillis(Candidate candidate, WaitingRequest waiting, Average average) {
+    private static double scoreMillis(Candidate candidate, WaitingRequest waiting, AverageSpeed average) {
         TargetAccount account = candidate.account();
-        int missing = account.prefixes().uncachedTokens(waiting.prefixes(), waiting.promptTokens());
+        int uncachedTokens = account.prefixes().uncachedTokens(waiting.prefixes(), waiting.promptTokens());
         double aloneMillis = account.speed().hasSamples()
-                ? account.speed().predictMillis(missing, waiting.answerTokens())
-                : average.predictMillis(missing, waiting);
-        double crowding = CROWDING * account.inFlight() / account.limit().value();
+                ? account.speed().predictMillis(uncachedTokens, waiting.answerTokens())
+                : average.predictMillis(uncachedTokens, waiting);
+        double crowding = CROWDING_WEIGHT * account.inFlight() / account.limit().value();
         return aloneMillis * (1 + crowding);
     }
 
     /** Speed of the targets that are known, which stands in for one that is not. */
-    private record Average(List<TargetSpeed> known) {
-        static Average of(List<Candidate> candidates) {
-            return new Average(candidates.stream()
+    private record AverageSpeed(List<TargetSpeed> speeds) {
+        static AverageSpeed of(List<Candidate> candidates) {
+            return new AverageSpeed(candidates.stream()
                     .map(candidate -> candidate.account().speed())
                     .filter(TargetSpeed::hasSamples)
                     .toList());
         }
 
         // Where no speed is known, the prefill that a cache spares is all that tells targets apart.
-        double predictMillis(int missing, WaitingRequest waiting) {
-            return known.stream()
-                    .mapToDouble(speed -> speed.predictMillis(missing, waiting.answerTokens()))
+        double predictMillis(int uncachedTokens, WaitingRequest waiting) {
+            return speeds.stream()
+                    .mapToDouble(speed -> speed.predictMillis(uncachedTokens, waiting.answerTokens()))
                     .average()
-                    .orElse(1 + missing);
+                    .orElse(1 + uncachedTokens);
         }
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/TargetSpeed.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/TargetSpeed.java
@@ -4,16 +4,16 @@
 
 /** Learned speed of one target. */
 public final class TargetSpeed {
-    private static final double SMOOTHING = 0.2;
-    private static final long FRESH_MILLIS = 10_000;
-    private static final int ENOUGH_TOKENS = 2;
-    private static final int ENOUGH_PREFILL = 8;
+    private static final double SMOOTHING_FACTOR = 0.2;
+    private static final long MAX_SAMPLE_AGE_MILLIS = 10_000;
+    private static final int MIN_ANSWER_TOKENS = 2;
+    private static final int MIN_PREFILL_TOKENS = 8;
 
     private double millisPerToken;
     private double millisPerPrefillToken;
     private double baseMillis;
-    private int samples;
-    private long learnedAtMillis;
+    private int sampleCount;
+    private long lastSampleMillis;
 
     /**
      * Learns from a completed request.
@@ -22,15 +22,15 @@
      * @param nowMillis time now
      */
     public void addSample(CompletionSample sample, long nowMillis) {
-        samples++;
-        learnedAtMillis = nowMillis;
-        if (sample.answerTokens() < ENOUGH_TOKENS) {
+        sampleCount++;
+        lastSampleMillis = nowMillis;
+        if (sample.answerTokens() < MIN_ANSWER_TOKENS) {
             baseMillis = smooth(baseMillis, sample.totalMillis());
             return;
         }
         long decodeMillis = Math.max(0, sample.totalMillis() - sample.firstTokenMillis());
         millisPerToken = smooth(millisPerToken, (double) decodeMillis / (sample.answerTokens() - 1));
-        if (sample.prefillTokens() >= ENOUGH_PREFILL) {
+        if (sample.prefillTokens() >= MIN_PREFILL_TOKENS) {
             millisPerPrefillToken =
                     smooth(millisPerPrefillToken, (double) sample.firstTokenMillis() / sample.prefillTokens());
         } else {
@@ -44,7 +44,7 @@
      * @return false before the first completed request
      */
     public boolean hasSamples() {
-        return samples > 0;
+        return sampleCount > 0;
     }
 
     /**
@@ -57,7 +57,7 @@
      * @return true when a request completed in the last ten seconds
      */
     public boolean hasRecentSample(long nowMillis) {
-        return hasSamples() && nowMillis - learnedAtMillis <= FRESH_MILLIS;
+        return hasSamples() && nowMillis - lastSampleMillis <= MAX_SAMPLE_AGE_MILLIS;
     }
 
     /**
@@ -91,6 +91,6 @@
     }
 
     private static double smooth(double old, double sample) {
-        return old == 0 ? sample : old + SMOOTHING * (sample - old);
+        return old == 0 ? sample : old + SMOOTHING_FACTOR * (sample - old);
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/HeldPledges.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/HeldPledges.java
@@ -13,9 +13,9 @@
     private final SliceId slice;
     private final MembershipViews views;
     private final ShareRule rule;
-    private final Map<String, Held> held = new HashMap<>();
+    private final Map<String, HeldPledge> byVoter = new HashMap<>();
     // Shares are asked for many times between two pledges; to look up each voter anew was most of a scheduler's work.
-    private final Map<Membership, Held[]> pledgesByView = new IdentityHashMap<>();
+    private final Map<Membership, HeldPledge[]> pledgesByView = new IdentityHashMap<>();
 
     /**
      * Creates an empty book.
@@ -34,30 +34,35 @@
      * Records a pledge.
      *
      * @param voter name of the voter
-     * @param sentAtMillis when the request was sent, by the owner's clock
-     * @param goodMillis how long the pledge lasts by the voter's clock
-     * @param quietMillis how long ago a pledge to another host may last have counted, by the voter's clock
+     * @param requestSentAtMillis when the request was sent, by the owner's clock
+     * @param validityMillis how long the pledge lasts by the voter's clock
+     * @param unheldMillis how long ago a pledge to another host may last have counted, by the voter's clock
      * @param timings times in force
      * @param nowMillis time now
      */
     public void add(
-            String voter, long sentAtMillis, long goodMillis, long quietMillis, Timings timings, long nowMillis) {
-        if (sentAtMillis > nowMillis) {
+            String voter,
+            long requestSentAtMillis,
+            long validityMillis,
+            long unheldMillis,
+            Timings timings,
+            long nowMillis) {
+        if (requestSentAtMillis > nowMillis) {
             // An echo that this process cannot have sent would make the pledge last longer than the voter's word.
             return;
         }
         // The voter's time starts when it gets the request, which is after it was sent; so this ends before the
         // voter's.
-        long untilMillis = sentAtMillis + timings.lowerBoundMillis(goodMillis);
+        long expiryMillis = requestSentAtMillis + timings.lowerBoundMillis(validityMillis);
         // Grants of an earlier owner may put requests at a target until then; a load measured earlier may lack them.
-        long ripeAtMillis = nowMillis - timings.lowerBoundMillis(quietMillis) + timings.grantExpiryMillis();
-        held.put(voter, new Held(untilMillis, ripeAtMillis));
+        long effectiveFromMillis = nowMillis - timings.lowerBoundMillis(unheldMillis) + timings.grantExpiryMillis();
+        byVoter.put(voter, new HeldPledge(expiryMillis, effectiveFromMillis));
         pledgesByView.clear();
     }
 
     /** Forgets all pledges, for example after they were given back. */
     public void clear() {
-        held.clear();
+        byVoter.clear();
         pledgesByView.clear();
     }
 
@@ -70,9 +75,9 @@
      * @return the smallest share over all views that count; 0 when there is none
      */
     public int usableSlots(int limit, long measuredAtMillis, long nowMillis) {
-        List<Membership> counted = views.inForceAt(measuredAtMillis);
-        int usable = counted.isEmpty() ? 0 : limit;
-        for (Membership view : counted) {
+        List<Membership> viewsInForce = views.inForceAt(measuredAtMillis);
+        int usable = viewsInForce.isEmpty() ? 0 : limit;
+        for (Membership view : viewsInForce) {
             usable = Math.min(usable, share(view, measuredAtMillis, nowMillis).usableSlots(limit, rule));
         }
         return usable;
@@ -91,26 +96,26 @@
     }
 
     private Share share(Membership view, long measuredAtMillis, long nowMillis) {
-        Held[] pledges = pledgesByView.computeIfAbsent(view, this::pledges);
+        HeldPledge[] pledges = pledgesByView.computeIfAbsent(view, this::pledges);
         if (pledges.length == 0) {
             return Share.NONE;
         }
         int pledged = 0;
-        for (Held pledge : pledges) {
-            if (nowMillis < pledge.untilMillis() && pledge.ripeAtMillis() <= measuredAtMillis) {
+        for (HeldPledge pledge : pledges) {
+            if (nowMillis < pledge.expiryMillis() && pledge.effectiveFromMillis() <= measuredAtMillis) {
                 pledged++;
             }
         }
         return new Share(pledged, pledges.length);
     }
 
-    private Held[] pledges(Membership view) {
+    private HeldPledge[] pledges(Membership view) {
         return view.voters(slice).stream()
-                .map(voter -> held.getOrDefault(voter.getName(), Held.NONE))
-                .toArray(Held[]::new);
+                .map(voter -> byVoter.getOrDefault(voter.getName(), HeldPledge.NONE))
+                .toArray(HeldPledge[]::new);
     }
 
-    private record Held(long untilMillis, long ripeAtMillis) {
-        private static final Held NONE = new Held(Long.MIN_VALUE, Long.MAX_VALUE);
+    private record HeldPledge(long expiryMillis, long effectiveFromMillis) {
+        private static final HeldPledge NONE = new HeldPledge(Long.MIN_VALUE, Long.MAX_VALUE);
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/MembershipViews.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/MembershipViews.java
@@ -20,10 +20,10 @@
  * for the same time it uses nothing. This covers lists that lag by no more than the bound in the document.
  */
 public final class MembershipViews {
-    private final List<Replaced> replaced = new ArrayList<>();
+    private final List<ReplacedView> replacedViews = new ArrayList<>();
     private Membership current;
-    private List<Membership> onlyCurrent = List.of();
-    private long firstSettledAtMillis;
+    private List<Membership> currentOnly = List.of();
+    private long earliestMeasurementMillis;
 
     /**
      * Takes in a new view.
@@ -33,15 +33,15 @@
      * @param nowMillis time now
      */
     public void update(Membership membership, Timings timings, long nowMillis) {
-        long settledAtMillis =
+        long obsoleteAtMillis =
                 nowMillis + timings.upperBoundMillis(timings.listLagMillis()) + timings.grantExpiryMillis();
         if (current == null) {
-            firstSettledAtMillis = settledAtMillis;
+            earliestMeasurementMillis = obsoleteAtMillis;
         } else {
-            replaced.add(new Replaced(current, settledAtMillis));
+            replacedViews.add(new ReplacedView(current, obsoleteAtMillis));
         }
         current = membership;
-        onlyCurrent = List.of(membership);
+        currentOnly = List.of(membership);
     }
 
     /**
@@ -52,7 +52,7 @@
      * @param nowMillis time now
      */
     public void resetAfterPause(Timings timings, long nowMillis) {
-        firstSettledAtMillis =
+        earliestMeasurementMillis =
                 nowMillis + timings.upperBoundMillis(timings.listLagMillis()) + timings.grantExpiryMillis();
     }
 
@@ -71,13 +71,13 @@
      * @param oldestMeasuredAtMillis time of the oldest load reading that is still used
      */
     public void prune(long oldestMeasuredAtMillis) {
-        for (Replaced view : replaced) {
-            if (view.settledAtMillis() <= oldestMeasuredAtMillis) {
+        for (ReplacedView view : replacedViews) {
+            if (view.obsoleteAtMillis() <= oldestMeasuredAtMillis) {
                 // A load measured before that says nothing once the view is forgotten.
-                firstSettledAtMillis = Math.max(firstSettledAtMillis, view.settledAtMillis());
+                earliestMeasurementMillis = Math.max(earliestMeasurementMillis, view.obsoleteAtMillis());
             }
         }
-        replaced.removeIf(view -> view.settledAtMillis() <= oldestMeasuredAtMillis);
+        replacedViews.removeIf(view -> view.obsoleteAtMillis() <= oldestMeasuredAtMillis);
     }
 
     /**
@@ -87,16 +87,16 @@
      * @return views; empty when nothing may be counted yet
      */
     public List<Membership> inForceAt(long measuredAtMillis) {
-        if (current == null || measuredAtMillis < firstSettledAtMillis) {
+        if (current == null || measuredAtMillis < earliestMeasurementMillis) {
             return List.of();
         }
-        if (replaced.isEmpty()) {
-            return onlyCurrent;
+        if (replacedViews.isEmpty()) {
+            return currentOnly;
         }
         List<Membership> counted = new ArrayList<>();
         counted.add(current);
-        for (Replaced view : replaced) {
-            if (measuredAtMillis < view.settledAtMillis()) {
+        for (ReplacedView view : replacedViews) {
+            if (measuredAtMillis < view.obsoleteAtMillis()) {
                 counted.add(view.membership());
             }
         }
@@ -132,11 +132,11 @@
         if (current != null) {
             current.voters(slice).stream().map(Host::getName).forEach(voters::add);
         }
-        for (Replaced view : replaced) {
+        for (ReplacedView view : replacedViews) {
             view.membership().voters(slice).stream().map(Host::getName).forEach(voters::add);
         }
         return voters;
     }
 
-    private record Replaced(Membership membership, long settledAtMillis) {}
+    private record ReplacedView(Membership membership, long obsoleteAtMillis) {}
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/ShareRule.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/ShareRule.java
@@ -13,7 +13,7 @@
     PROPORTIONAL {
         @Override
         int usableSlots(int limit, Share share) {
-            return part(limit, share.pledged(), share.voters());
+            return roundedDownPart(limit, share.pledged(), share.voters());
         }
     },
     /**
@@ -24,14 +24,14 @@
         @Override
         int usableSlots(int limit, Share share) {
             return share.isMajority()
-                    ? limit - part(limit, share.voters() - share.pledged(), share.voters())
-                    : part(limit, share.pledged(), share.voters());
+                    ? limit - roundedDownPart(limit, share.voters() - share.pledged(), share.voters())
+                    : roundedDownPart(limit, share.pledged(), share.voters());
         }
     };
 
     abstract int usableSlots(int limit, Share share);
 
-    private static int part(int limit, int count, int all) {
-        return (int) ((long) limit * count / all);
+    private static int roundedDownPart(int limit, int count, int total) {
+        return (int) ((long) limit * count / total);
     }
 }
