--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/Voter.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/Voter.java
@@ -14,7 +14,7 @@
 /** Gives the pledges of this host: each slice to one process at a time. */
 public final class Voter {
     private final long startedAtMillis;
-    private final Map<SliceId, State> states = new HashMap<>();
+    private final Map<SliceId, SliceVote> votes = new HashMap<>();
 
     /**
      * Creates a voter that has pledged nothing.
@@ -28,7 +28,7 @@
     /**
      * Answers a request.
      *
-     * @param asker process that asks
+     * @param requester process that asks
      * @param request the request
      * @param membership newest view of the host list
      * @param timings times in force
@@ -36,20 +36,22 @@
      * @return pledges and refusals
      */
     public Pledge answer(
-            ProcessId asker, PledgeRequest request, Membership membership, Timings timings, long nowMillis) {
+            ProcessId requester, PledgeRequest request, Membership membership, Timings timings, long nowMillis) {
         Pledge.Builder pledge = Pledge.newBuilder()
                 .setEchoMillis(request.getSentAtMillis())
                 .setGoodMillis(timings.pledgeMillis())
                 .setListRevision(membership.revision());
         for (SliceId slice : request.getSlicesList()) {
-            State state = states.computeIfAbsent(slice, key -> new State(settledAtMillis(timings)));
-            int rank = rank(membership, slice, asker.host());
+            SliceVote vote = votes.computeIfAbsent(slice, key -> new SliceVote(earliestPledgeMillis(timings)));
+            int rank = rank(membership, slice, requester.host());
             // An asker that this host's list does not have acts by another list; it must wait until both agree.
-            boolean known = rank != Integer.MAX_VALUE;
-            if (!known || nowMillis < settledAtMillis(timings) || !state.pledge(asker, rank, timings, nowMillis)) {
+            boolean isListed = rank != Integer.MAX_VALUE;
+            if (!isListed
+                    || nowMillis < earliestPledgeMillis(timings)
+                    || !vote.pledge(requester, rank, timings, nowMillis)) {
                 pledge.addRefused(slice);
             } else {
-                pledge.addSlices(slice).addQuietMillis(nowMillis - state.foreignUntilMillis);
+                pledge.addSlices(slice).addQuietMillis(nowMillis - vote.lastOtherExpiryMillis);
             }
         }
         return pledge.build();
@@ -66,9 +68,9 @@
      */
     public void release(ProcessId holder, List<SliceId> slices, boolean clean, Timings timings, long nowMillis) {
         for (SliceId slice : slices) {
-            State state = states.get(slice);
-            if (state != null && holder.equals(state.holder)) {
-                state.release(clean ? timings.grantExpiryMillis() - Timings.MAX_TRANSIT_MILLIS : 0, nowMillis);
+            SliceVote vote = votes.get(slice);
+            if (vote != null && holder.equals(vote.holder)) {
+                vote.release(clean ? timings.grantExpiryMillis() - Timings.MAX_TRANSIT_MILLIS : 0, nowMillis);
             }
         }
     }
@@ -80,18 +82,18 @@
      * @param nowMillis time now
      */
     public void prune(Membership membership, long nowMillis) {
-        states.entrySet()
+        votes.entrySet()
                 .removeIf(entry -> !membership.slices().contains(entry.getKey())
-                        && entry.getValue().untilMillis < nowMillis
-                        && nowMillis - entry.getValue().untilMillis > FORGET_MILLIS);
+                        && entry.getValue().expiryMillis < nowMillis
+                        && nowMillis - entry.getValue().expiryMillis > STATE_RETENTION_MILLIS);
     }
 
-    private static final long FORGET_MILLIS = 600_000;
+    private static final long STATE_RETENTION_MILLIS = 600_000;
 
     // A process that was restarted has forgotten what it pledged. Were it to pledge at once, two owners could count it
     // at
     // the same time; so it waits until any pledge of its earlier start has run out.
-    private long settledAtMillis(Timings timings) {
+    private long earliestPledgeMillis(Timings timings) {
         return startedAtMillis + timings.upperBoundMillis(timings.pledgeMillis());
     }
 
@@ -106,56 +108,59 @@
     }
 
     /** What is pledged of one slice. */
-    private static final class State {
+    private static final class SliceVote {
         private ProcessId holder;
         private int holderRank;
-        private long untilMillis;
-        private long foreignUntilMillis;
-        private ProcessId better;
-        private int betterRank;
-        private long betterUntilMillis;
+        private long expiryMillis;
+        private long lastOtherExpiryMillis;
+        private ProcessId preferred;
+        private int preferredRank;
+        private long preferredExpiryMillis;
 
-        State(long settledAtMillis) {
-            this.untilMillis = settledAtMillis;
-            this.foreignUntilMillis = settledAtMillis;
+        SliceVote(long earliestPledgeMillis) {
+            this.expiryMillis = earliestPledgeMillis;
+            this.lastOtherExpiryMillis = earliestPledgeMillis;
         }
 
-        boolean pledge(ProcessId asker, int rank, Timings timings, long nowMillis) {
-            boolean free = holder == null || untilMillis <= nowMillis;
-            boolean mine = asker.equals(holder);
-            if (betterWaits(asker, rank, nowMillis)) {
+        boolean pledge(ProcessId requester, int rank, Timings timings, long nowMillis) {
+            boolean isFree = holder == null || expiryMillis <= nowMillis;
+            boolean isHolder = requester.equals(holder);
+            if (preferredCandidateWaits(requester, rank, nowMillis)) {
                 return false;
             }
-            if (!free && !mine) {
-                note(asker, rank, nowMillis + timings.pledgeMillis());
+            if (!isFree && !isHolder) {
+                recordPreferred(requester, rank, nowMillis + timings.pledgeMillis());
                 return false;
             }
-            if (!mine && holder != null) {
-                foreignUntilMillis = Math.max(foreignUntilMillis, untilMillis);
+            if (!isHolder && holder != null) {
+                lastOtherExpiryMillis = Math.max(lastOtherExpiryMillis, expiryMillis);
             }
-            holder = asker;
+            holder = requester;
             holderRank = rank;
-            untilMillis = nowMillis + timings.pledgeMillis();
+            expiryMillis = nowMillis + timings.pledgeMillis();
             return true;
         }
 
-        void release(long creditMillis, long nowMillis) {
-            foreignUntilMillis = Math.max(foreignUntilMillis, nowMillis - creditMillis);
+        void release(long cleanCreditMillis, long nowMillis) {
+            lastOtherExpiryMillis = Math.max(lastOtherExpiryMillis, nowMillis - cleanCreditMillis);
             holder = null;
         }
 
         // The holder would renew for ever and the host that comes first by the list would never get the slice; so
         // renewal
         // ends while a host that comes before it asks.
-        private boolean betterWaits(ProcessId asker, int rank, long nowMillis) {
-            return better != null && !better.equals(asker) && betterRank < rank && nowMillis < betterUntilMillis;
+        private boolean preferredCandidateWaits(ProcessId requester, int rank, long nowMillis) {
+            return preferred != null
+                    && !preferred.equals(requester)
+                    && preferredRank < rank
+                    && nowMillis < preferredExpiryMillis;
         }
 
-        private void note(ProcessId asker, int rank, long noteUntilMillis) {
+        private void recordPreferred(ProcessId requester, int rank, long requestExpiryMillis) {
             if (rank < holderRank) {
-                better = asker;
-                betterRank = rank;
-                betterUntilMillis = noteUntilMillis;
+                preferred = requester;
+                preferredRank = rank;
+                preferredExpiryMillis = requestExpiryMillis;
             }
         }
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/DrainRate.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/DrainRate.java
@@ -3,11 +3,11 @@
 /** Learned rate at which the targets of a slice work off predicted cost. */
 public final class DrainRate {
     private static final double WINDOW_MILLIS = 10_000;
-    private static final double SHORTEST_MILLIS = 1_000;
+    private static final double MIN_SPAN_MILLIS = 1_000;
 
-    private double sum;
-    private long firstAtMillis = Long.MIN_VALUE;
-    private long lastAtMillis;
+    private double decayedCost;
+    private long firstCompletionMillis = Long.MIN_VALUE;
+    private long lastCompletionMillis;
 
     /**
      * Counts completed work.
@@ -16,12 +16,12 @@
      * @param nowMillis time now
      */
     public void addCompleted(int cost, long nowMillis) {
-        if (firstAtMillis == Long.MIN_VALUE) {
-            firstAtMillis = nowMillis;
-            lastAtMillis = nowMillis;
+        if (firstCompletionMillis == Long.MIN_VALUE) {
+            firstCompletionMillis = nowMillis;
+            lastCompletionMillis = nowMillis;
         }
-        sum = decayed(nowMillis) + cost;
-        lastAtMillis = nowMillis;
+        decayedCost = decayedCostAt(nowMillis) + cost;
+        lastCompletionMillis = nowMillis;
     }
 
     /**
@@ -39,14 +39,15 @@
     // The rate is the one at the last completion, and unknown once that is long ago. One that decayed with time would
     // predict endless waits while a few long requests run, and refuse all that could be served after them.
     private double costPerMilli(long nowMillis) {
-        if (firstAtMillis == Long.MIN_VALUE || nowMillis - lastAtMillis > WINDOW_MILLIS) {
+        if (firstCompletionMillis == Long.MIN_VALUE || nowMillis - lastCompletionMillis > WINDOW_MILLIS) {
             return 0;
         }
-        double spanMillis = Math.min(WINDOW_MILLIS, Math.max(SHORTEST_MILLIS, lastAtMillis - firstAtMillis));
-        return sum / spanMillis;
+        double spanMillis =
+                Math.min(WINDOW_MILLIS, Math.max(MIN_SPAN_MILLIS, lastCompletionMillis - firstCompletionMillis));
+        return decayedCost / spanMillis;
     }
 
-    private double decayed(long nowMillis) {
-        return sum * Math.exp(-(nowMillis - lastAtMillis) / WINDOW_MILLIS);
+    private double decayedCostAt(long nowMillis) {
+        return decayedCost * Math.exp(-(nowMillis - lastCompletionMillis) / WINDOW_MILLIS);
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/SliceQueue.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/SliceQueue.java
@@ -62,7 +62,7 @@
         byKey.remove(waiting.key());
         TierQueue tier = tiers.get(waiting.rank());
         tier.remove(waiting);
-        tier.served(waiting);
+        tier.chargeGranted(waiting);
     }
 
     /**
@@ -74,7 +74,7 @@
      */
     public Optional<WaitingRequest> next(Predicate<WaitingRequest> passes) {
         for (TierQueue tier : tiers.values()) {
-            Optional<WaitingRequest> next = tier.firstHead(passes);
+            Optional<WaitingRequest> next = tier.firstMatchingHead(passes);
             if (next.isPresent()) {
                 return next;
             }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/TierQueue.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/TierQueue.java
@@ -18,12 +18,12 @@
  * up.
  */
 final class TierQueue {
-    private static final double MILLIS_PER_COST = 5;
+    private static final double AGEING_MILLIS_PER_COST = 5;
 
-    private final Map<String, Line> lines = new HashMap<>();
+    private final Map<String, OrganisationQueue> byOrganisation = new HashMap<>();
     // Walked for every grant: organisations with nothing waiting are kept apart, for there may be thousands of them.
-    private final TreeSet<Line> active = new TreeSet<>(Line.ORDER);
-    private final TreeSet<Line> idle = new TreeSet<>(Line.ORDER);
+    private final TreeSet<OrganisationQueue> active = new TreeSet<>(OrganisationQueue.ORDER);
+    private final TreeSet<OrganisationQueue> idle = new TreeSet<>(OrganisationQueue.ORDER);
     private double virtualTime;
     private long cost;
     private int size;
@@ -37,30 +37,30 @@
     }
 
     void add(WaitingRequest waiting) {
-        Line line = lines.computeIfAbsent(waiting.organisation(), Line::new);
-        if (line.waiting.isEmpty()) {
-            idle.remove(line);
-            line.virtualTime = Math.max(line.virtualTime, virtualTime);
-            active.add(line);
+        OrganisationQueue queue = byOrganisation.computeIfAbsent(waiting.organisation(), OrganisationQueue::new);
+        if (queue.waiting.isEmpty()) {
+            idle.remove(queue);
+            queue.virtualTime = Math.max(queue.virtualTime, virtualTime);
+            active.add(queue);
         }
-        if (line.waiting.add(waiting)) {
-            line.cost += waiting.cost();
+        if (queue.waiting.add(waiting)) {
+            queue.cost += waiting.cost();
             cost += waiting.cost();
             size++;
         }
     }
 
     boolean remove(WaitingRequest waiting) {
-        Line line = lines.get(waiting.organisation());
-        if (line == null || !line.waiting.remove(waiting)) {
+        OrganisationQueue queue = byOrganisation.get(waiting.organisation());
+        if (queue == null || !queue.waiting.remove(waiting)) {
             return false;
         }
-        line.cost -= waiting.cost();
+        queue.cost -= waiting.cost();
         cost -= waiting.cost();
         size--;
-        if (line.waiting.isEmpty()) {
-            active.remove(line);
-            idle.add(line);
+        if (queue.waiting.isEmpty()) {
+            active.remove(queue);
+            idle.add(queue);
         }
         return true;
     }
@@ -70,14 +70,15 @@
      * what goes before it, of every other one no more than a fair share of that.
      */
     long costBefore(WaitingRequest waiting) {
-        Line own = lines.get(waiting.organisation());
-        long ownBefore = own == null ? 0 : own.costBefore(waiting);
+        OrganisationQueue ownQueue = byOrganisation.get(waiting.organisation());
+        long ownBefore = ownQueue == null ? 0 : ownQueue.costBefore(waiting);
         double perWeight = (double) (ownBefore + waiting.cost()) / Math.max(1, waiting.weight());
         double before = ownBefore;
-        for (Line line : active) {
-            if (line != own) {
+        for (OrganisationQueue queue : active) {
+            if (queue != ownQueue) {
                 before += Math.min(
-                        line.cost, perWeight * Math.max(1, line.waiting.first().weight()));
+                        queue.cost,
+                        perWeight * Math.max(1, queue.waiting.first().weight()));
             }
         }
         return (long) before;
@@ -86,9 +87,9 @@
     /**
      * Returns the next request to be served among the first ones of each organisation that pass; empty when none does.
      */
-    Optional<WaitingRequest> firstHead(Predicate<WaitingRequest> passes) {
-        for (Line line : active) {
-            WaitingRequest head = line.waiting.first();
+    Optional<WaitingRequest> firstMatchingHead(Predicate<WaitingRequest> passes) {
+        for (OrganisationQueue queue : active) {
+            WaitingRequest head = queue.waiting.first();
             if (passes.test(head)) {
                 return Optional.of(head);
             }
@@ -97,21 +98,21 @@
     }
 
     /** Accounts for a request that was granted and removed. */
-    void served(WaitingRequest waiting) {
-        Line line = lines.get(waiting.organisation());
-        if (line != null) {
-            virtualTime = Math.max(virtualTime, line.virtualTime);
-            charge(line, (double) waiting.cost() / Math.max(1, waiting.weight()));
+    void chargeGranted(WaitingRequest waiting) {
+        OrganisationQueue queue = byOrganisation.get(waiting.organisation());
+        if (queue != null) {
+            virtualTime = Math.max(virtualTime, queue.virtualTime);
+            charge(queue, (double) waiting.cost() / Math.max(1, waiting.weight()));
         }
-        forgetIdle();
+        removeIdle();
     }
 
     /** Returns the request that hurts least to shed: the last one of the organisation that has most waiting. */
     WaitingRequest victim() {
-        Line longest = null;
-        for (Line line : active) {
-            if (longest == null || line.burden() > longest.burden()) {
-                longest = line;
+        OrganisationQueue longest = null;
+        for (OrganisationQueue queue : active) {
+            if (longest == null || queue.costPerWeight() > longest.costPerWeight()) {
+                longest = queue;
             }
         }
         return longest == null ? null : longest.waiting.last();
@@ -119,46 +120,47 @@
 
     List<WaitingRequest> all() {
         List<WaitingRequest> all = new ArrayList<>(size);
-        active.forEach(line -> all.addAll(line.waiting));
+        active.forEach(queue -> all.addAll(queue.waiting));
         return all;
     }
 
     // A line's place in its set hangs on its virtual time, so it is taken out while that changes.
-    private void charge(Line line, double virtualCost) {
-        TreeSet<Line> place = line.waiting.isEmpty() ? idle : active;
-        place.remove(line);
-        line.virtualTime += virtualCost;
-        place.add(line);
+    private void charge(OrganisationQueue queue, double virtualCost) {
+        TreeSet<OrganisationQueue> containingSet = queue.waiting.isEmpty() ? idle : active;
+        containingSet.remove(queue);
+        queue.virtualTime += virtualCost;
+        containingSet.add(queue);
     }
 
     // Idle organisations that are not ahead of the tier carry nothing worth keeping; without this the map would grow
     // with every organisation ever seen.
-    private void forgetIdle() {
+    private void removeIdle() {
         while (!idle.isEmpty() && idle.first().virtualTime <= virtualTime) {
-            lines.remove(idle.pollFirst().organisation);
+            byOrganisation.remove(idle.pollFirst().organisation);
         }
     }
 
     /** What one organisation has waiting. */
-    private static final class Line {
-        private static final Comparator<Line> ORDER =
-                Comparator.<Line>comparingDouble(line -> line.virtualTime).thenComparing(line -> line.organisation);
+    private static final class OrganisationQueue {
+        private static final Comparator<OrganisationQueue> ORDER = Comparator.<OrganisationQueue>comparingDouble(
+                        queue -> queue.virtualTime)
+                .thenComparing(queue -> queue.organisation);
         // A short request overtakes a long one that came a little earlier; since every request's place is fixed by its
         // own
         // arrival, the long one is overtaken for a bounded time only.
-        private static final Comparator<WaitingRequest> AGED_SHORTEST_FIRST =
+        private static final Comparator<WaitingRequest> SHORTEST_FIRST_WITH_AGEING =
                 Comparator.<WaitingRequest>comparingDouble(
-                                waiting -> waiting.arrivedAtMillis() + waiting.cost() * MILLIS_PER_COST)
+                                waiting -> waiting.arrivedAtMillis() + waiting.cost() * AGEING_MILLIS_PER_COST)
                         .thenComparing(waiting -> waiting.home().host())
                         .thenComparingLong(waiting -> waiting.home().incarnation())
                         .thenComparingLong(WaitingRequest::request);
 
         private final String organisation;
-        private final TreeSet<WaitingRequest> waiting = new TreeSet<>(AGED_SHORTEST_FIRST);
+        private final TreeSet<WaitingRequest> waiting = new TreeSet<>(SHORTEST_FIRST_WITH_AGEING);
         private double virtualTime;
         private long cost;
 
-        Line(String organisation) {
+        OrganisationQueue(String organisation) {
             this.organisation = organisation;
         }
 
@@ -168,7 +170,7 @@
                     .sum();
         }
 
-        double burden() {
+        double costPerWeight() {
             return (double) cost / Math.max(1, waiting.first().weight());
         }
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/WaitingRequest.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/WaitingRequest.java
@@ -31,7 +31,7 @@
         long deadlineMillis,
         long arrivedAtMillis) {
     private static final int BASE_COST = 16;
-    private static final int PREFILL_PER_TOKEN = 8;
+    private static final int PROMPT_TOKENS_PER_COST = 8;
 
     /**
      * Returns the predicted cost.
@@ -39,7 +39,7 @@
      * @return cost in answer tokens; prefill counts an eighth
      */
     public int cost() {
-        return BASE_COST + answerTokens + promptTokens / PREFILL_PER_TOKEN;
+        return BASE_COST + answerTokens + promptTokens / PROMPT_TOKENS_PER_COST;
     }
 
     /**
