--- a/org.whinwharf.scheduler.test/src/test/java/org/whinwharf/scheduler/FakePlatform.java
+++ b/org.whinwharf.scheduler.test/src/test/java/org/whinwharf/scheduler/FakePlatform.java
@@ -11,7 +11,7 @@
 import org.whinwharf.wire.schema.HostList;
 import org.whinwharf.wire.schema.TargetLoad;
 
-/** Configuration service, host list and one idle target behind one port. Holds no answer back. */
+/** Serves the configuration, the host list and one idle target on one port, without long polling. */
 final class FakePlatform implements AutoCloseable {
     private static final int OK = 200;
     private static final int NOT_MODIFIED = 304;
--- a/org.whinwharf.scheduler.test/src/test/java/org/whinwharf/scheduler/SchedulerDaemonTest.java
+++ b/org.whinwharf.scheduler.test/src/test/java/org/whinwharf/scheduler/SchedulerDaemonTest.java
@@ -64,8 +64,8 @@
     private final List<Frame> pendingFrames = new ArrayList<>();
     private final CompletableFuture<PeerLink> linked = new CompletableFuture<>();
 
-    // The host is replaced while one request holds a grant and another waits. The waiting one must move on at once, and
-    // the process must not go before the grant is surely not used.
+    // The host is replaced while one request holds a grant and another waits. The waiting request must move on
+    // immediately, and the process must not stop before the grant can certainly no longer be used.
     @Test
     void grantsOverARealLinkAndHandsOverWhenItLeaves() throws Exception {
         int schedulerPort = freePort();
@@ -94,7 +94,8 @@
         }
     }
 
-    // Before the first list and document the scheduler drops what it hears, as it cannot tell whose slice it is.
+    // Until it has its first host list and document, the scheduler drops frames because it cannot tell which slices
+    // it owns.
     private void enqueueUntilAnswered(PeerLink link) throws InterruptedException {
         for (int attempt = 0; attempt < MAX_ATTEMPTS && received.isEmpty(); attempt++) {
             enqueue(link, 1);
@@ -125,7 +126,8 @@
                 .build();
     }
 
-    // The stop and the second request reach the scheduler on different ways, so its answers may come in either order.
+    // The stop and the second request reach the scheduler by different paths, so the responses may arrive in either
+    // order.
     private Frame next(Frame.BodyCase kind) throws InterruptedException {
         while (pendingFrames.stream().noneMatch(frame -> frame.getBodyCase() == kind)) {
             Frame frame = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -258,7 +260,7 @@
 
         @Override
         public void linkDown(PeerLink link, String reason) {
-            // The test ends when frames no longer come.
+            // A closed link makes the test time out while it waits for frames.
         }
     }
 }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/Main.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/Main.java
@@ -7,13 +7,15 @@
 import org.whinwharf.wire.schema.SchedulerSettings;
 
 /** Command line of the scheduler. */
-@Command(name = "whinwharf-scheduler", description = "Owns slices of targets and grants waiting requests to them")
+@Command(
+        name = "whinwharf-scheduler",
+        description = "Owns slices of targets and grants their slots to waiting requests")
 public final class Main extends DaemonCommand<SchedulerSettings> {
-    /** Makes the command; called by the command line parser. */
+    /** Creates the command; called by the command line parser. */
     public Main() {}
 
     /**
-     * Runs the scheduler until it is told to stop.
+     * Runs the scheduler until it is stopped.
      *
      * @param arguments command line
      */
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/SchedulerDaemon.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/SchedulerDaemon.java
@@ -20,7 +20,7 @@
 import org.whinwharf.wire.schema.SchedulerSettings;
 import org.whinwharf.wire.status.SliceState;
 
-/** Scheduler process: one duty decides, one reads the targets. */
+/** Scheduler process. One duty makes all decisions, another polls the load of the targets. */
 public final class SchedulerDaemon implements Daemon {
     private static final int RING_SIZE = 16_384;
     private static final long TICK_MILLIS = 50;
@@ -32,7 +32,7 @@
     private final SchedulerLoop loop;
 
     /**
-     * Makes the process. Opens no port.
+     * Creates the process without opening a port.
      *
      * @param settings checked settings
      */
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/EventRing.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/EventRing.java
@@ -2,14 +2,14 @@
 
 import java.util.function.Consumer;
 
-/** Way into the ring of the duty that decides. */
+/** Entry to the ring buffer of the duty that makes decisions. */
 @FunctionalInterface
 public interface EventRing {
     /**
-     * Puts an event into the ring.
+     * Offers an event to the ring.
      *
-     * @param event what to do with the loop
-     * @return false when the ring is full
+     * @param event operation to perform on the loop
+     * @return false when the ring is full and the event is dropped
      */
     boolean offer(Consumer<SchedulerLoop> event);
 }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/LoadPoller.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/LoadPoller.java
@@ -26,7 +26,7 @@
 import org.whinwharf.wire.schema.ServiceKind;
 import org.whinwharf.wire.schema.TargetLoad;
 
-/** Duty that reads load and cache events of the targets of own slices. */
+/** Duty that polls the load and the cache events of the targets of all slices that this process handles. */
 public final class LoadPoller implements Service {
     private static final int RING_SIZE = 64;
     private static final long CONNECT_TIMEOUT_MILLIS = 500;
@@ -43,9 +43,9 @@
     /**
      * Creates the poller.
      *
-     * @param pollMillis time between two readings of a target
-     * @param ticker clock of this process
-     * @param ring ring of the duty that decides
+     * @param pollMillis interval between two polls of a target, in milliseconds
+     * @param ticker monotonic clock of this process
+     * @param ring ring of the duty that makes decisions
      */
     public LoadPoller(long pollMillis, Ticker ticker, EventRing ring) {
         this.ticker = ticker;
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Says which targets to read from now on.
+     * Replaces the targets to poll.
      *
      * @param targets targets by name
      */
@@ -109,11 +109,12 @@
                     ring.offer(loop -> loop.handle(new SchedulerEvent.CacheEventsReceived(name, events)));
                 },
                 () -> {
-                    // What was learned before stays good enough; the next reading asks for the same events again.
+                    // The cached prefixes known so far remain usable; the next request asks for the same events
+                    // again.
                 });
     }
 
-    // One question at a time for each target: one that answers slowly must not gather questions.
+    // Each target has at most one pending request of a kind, so that requests do not accumulate at a slow target.
     private void sendRequest(String key, String url, Consumer<byte[]> onResponse, Runnable onFailure) {
         if (!pendingRequests.add(key)) {
             return;
@@ -149,11 +150,11 @@
     }
 
     /**
-     * Where a target is asked.
+     * Address of a target to poll.
      *
-     * @param baseUrl base URL, by IP number
+     * @param baseUrl base URL with the IP address
      * @param hasCache true for a model engine
-     * @param lastCacheEventNumber number of the last cache event seen
+     * @param lastCacheEventNumber number of the last cache event received
      */
     public record Target(String baseUrl, boolean hasCache, long lastCacheEventNumber) {
         static Target of(Host host, SchedulerConfiguration configuration, long lastCacheEventNumber) {
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLinks.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLinks.java
@@ -16,10 +16,11 @@
 import org.whinwharf.wire.peer.PeerListener;
 
 /**
- * Links of the scheduler.
+ * Links of the scheduler to entry processes and other schedulers.
  *
- * <p>The listener's calls come from network threads and only fill the ring; everything else belongs to the duty that
- * decides. Two schedulers may be joined by two links, one from each side; a process is lost when its last link is.
+ * <p>Network threads call the listener methods, which only offer events to the ring. All other methods are confined to
+ * the duty that makes decisions. Two schedulers may be connected by two links, one opened by each; a process counts as
+ * disconnected when its last link is closed.
  */
 public final class SchedulerLinks implements PeerListener {
     private final EventRing ring;
@@ -30,7 +31,7 @@
     /**
      * Creates the links.
      *
-     * @param ring ring of the duty that decides
+     * @param ring ring of the duty that makes decisions
      */
     public SchedulerLinks(EventRing ring) {
         this.ring = ring;
@@ -49,17 +50,17 @@
     @Override
     public void linkDown(PeerLink link, String reason) {
         if (!ring.offer(loop -> loop.linkDown(link))) {
-            // Were the loss itself lost, the slots of a dead home would stay taken for ever; the next tick looks here.
+            // If this event were dropped, the slots of a failed home would stay taken for ever. The next tick handles
+            // the losses in this queue.
             pendingLinkLosses.add(link);
         }
     }
 
-    // A frame that is dropped, such as the end of a request, would leave its slot taken for ever. Closing the link
-    // makes
-    // the other side say anew what it has in flight.
+    // A dropped frame, such as the end of a request, would leave its slot taken for ever. After the link is closed,
+    // the other side connects again and reports its requests in flight.
     private void offer(PeerLink link, Consumer<SchedulerLoop> event) {
         if (!ring.offer(event)) {
-            link.close("decisions are too slow");
+            link.close("event ring is full");
         }
     }
 
@@ -67,14 +68,14 @@
         return Optional.ofNullable(pendingLinkLosses.poll());
     }
 
-    /** Adds a link; returns true when it is the first one of its process. */
+    /** Adds a link; returns true when it is the first link of its process. */
     boolean add(PeerLink link) {
         List<PeerLink> links = of(link.peer()).computeIfAbsent(id(link), key -> new ArrayList<>());
         links.add(link);
         return links.size() == 1;
     }
 
-    /** Removes a link; returns true when it was the last one of its process. */
+    /** Removes a link; returns true when it was the last link of its process. */
     boolean remove(PeerLink link) {
         List<PeerLink> links = of(link.peer()).get(id(link));
         if (links == null || !links.remove(link)) {
@@ -88,7 +89,8 @@
     }
 
     /**
-     * Sends to an entry process; a link that cannot take the frame is closed, since a lost grant would hold its slot.
+     * Sends a frame to an entry process. A link that does not accept the frame is closed, because a lost grant would
+     * keep its slot taken.
      */
     void toEntry(ProcessId home, Frame frame) {
         List<PeerLink> links = entries.getOrDefault(home, List.of());
@@ -97,7 +99,10 @@
         }
     }
 
-    /** Sends to the scheduler of a host; pledges and floors are repeated, so a frame that is lost does no harm. */
+    /**
+     * Sends a frame to the scheduler of a host. A lost frame does no harm, because pledges and floors are sent
+     * repeatedly.
+     */
     void toScheduler(String host, Frame frame) {
         schedulers.forEach((id, links) -> {
             if (id.host().equals(host)) {
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLog.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLog.java
@@ -13,7 +13,7 @@
 import org.whinwharf.wire.status.SliceState;
 import org.whinwharf.wire.status.TargetState;
 
-/** Log lines of the scheduler. */
+/** Writes the log events of the scheduler. */
 final class SchedulerLog {
     private final Map<String, Integer> loggedFloors = new HashMap<>();
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Logs what differs between two surveys. */
+    /** Logs the differences between two snapshots of the slices. */
     void logChanges(List<SliceState> before, List<SliceState> after) {
         Map<String, SliceState> previousByName = new HashMap<>();
         before.forEach(state -> previousByName.put(name(state), state));
@@ -59,7 +59,7 @@
             shareChanged(previous, state);
             targetsChanged(previous, state);
         }
-        previousByName.forEach((name, state) -> lost(name, "no longer handled here"));
+        previousByName.forEach((name, state) -> lost(name, "slice is no longer handled by this process"));
     }
 
     private static void shareChanged(SliceState previous, SliceState state) {
@@ -70,7 +70,7 @@
                     .with(EventField.SHARE, state.getShare())
                     .call();
         } else if (before > 0 && state.getShare() == 0) {
-            lost(name(state), "pledges have run out");
+            lost(name(state), "pledges have expired");
         }
     }
 
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLoop.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLoop.java
@@ -23,7 +23,7 @@
 import org.whinwharf.wire.schema.Host;
 import org.whinwharf.wire.status.SliceState;
 
-/** Duty that decides: feeds the decisions with what happens and does what they say. Confined to its thread. */
+/** Passes events to {@link SchedulerCore} and performs its actions. Confined to the duty that makes decisions. */
 public final class SchedulerLoop {
     private static final long SNAPSHOT_INTERVAL_MILLIS = 500;
 
@@ -45,11 +45,11 @@
     /**
      * Creates the loop.
      *
-     * @param node what the process knows of the fleet
-     * @param links links with other processes
-     * @param poller reader of targets
-     * @param metrics metrics
-     * @param placement how targets are chosen
+     * @param node node of this process, with its clock, network and tracer
+     * @param links links to other processes
+     * @param poller poller of target loads
+     * @param metrics metrics of the scheduler
+     * @param placement strategy that chooses targets
      */
     public SchedulerLoop(
             Node node, SchedulerLinks links, LoadPoller poller, SchedulerMetrics metrics, PlacementStrategy placement) {
@@ -64,18 +64,18 @@
     }
 
     /**
-     * Returns the slices as they stood a moment ago; safe for use by several threads.
+     * Returns the latest snapshot of the slices; safe for use by several threads.
      *
-     * @return states
+     * @return state of each slice
      */
     public List<SliceState> states() {
         return states;
     }
 
     /**
-     * Takes in another document.
+     * Applies a new document.
      *
-     * @param newConfiguration what it says
+     * @param newConfiguration scheduler settings from the document
      */
     public void documentChanged(SchedulerConfiguration newConfiguration) {
         configuration = newConfiguration;
@@ -83,9 +83,9 @@
     }
 
     /**
-     * Takes in another view of the host list.
+     * Applies a new view of the host list.
      *
-     * @param newMembership the view
+     * @param newMembership the new view
      */
     public void membershipChanged(Membership newMembership) {
         membership = newMembership;
@@ -95,14 +95,14 @@
     /**
      * Begins a planned stop.
      *
-     * @param whenHandedOver completed when nothing of any slice is left here
+     * @param whenHandedOver completed when all slices are handed over
      */
     public void leave(CompletableFuture<Void> whenHandedOver) {
         handedOver = whenHandedOver;
         handle(new SchedulerEvent.Leave());
     }
 
-    /** Lets time pass. */
+    /** Performs periodic work. */
     public void tick() {
         for (Optional<PeerLink> lost = links.pollPendingLinkLoss();
                 lost.isPresent();
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerMetrics.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerMetrics.java
@@ -14,7 +14,7 @@
 import org.whinwharf.wire.status.TargetState;
 import org.whinwharf.wire.status.TierQueue;
 
-/** Metrics of the scheduler. Confined to the duty that decides; the registry itself is read by others. */
+/** Metrics of the scheduler. Confined to the duty that makes decisions; other threads read the registry. */
 public final class SchedulerMetrics {
     private static final String PREFIX = "whinwharf.scheduler.";
 
@@ -28,7 +28,7 @@
     /**
      * Creates the metrics.
      *
-     * @param registry where they go
+     * @param registry registry of the metrics
      */
     public SchedulerMetrics(MeterRegistry registry) {
         this.registry = registry;
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerSpans.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerSpans.java
@@ -10,7 +10,7 @@
 import org.whinwharf.runtime.trace.TraceParent;
 import org.whinwharf.wire.message.Frame;
 
-/** Spans of requests while they wait here. Confined to the duty that decides. */
+/** Trace spans of requests while they wait here. Confined to the duty that makes decisions. */
 final class SchedulerSpans {
     private static final int MAX_WAITING_SPANS = 65_536;
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Ends the span of a request that is granted or refused; its identity goes with the answer. */
+    /** Ends the span of a granted or refused request, and returns the frame with the span as its trace parent. */
     Frame endOnSend(ProcessId home, Frame frame) {
         if (frame.hasGrant()) {
             Key key = new Key(home, frame.getGrant().getRequest());
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SingleResponse.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SingleResponse.java
@@ -5,9 +5,9 @@
 import org.reactivestreams.Subscription;
 
 /**
- * Takes the one answer of an HTTP call.
+ * Subscriber that passes on the single response of an HTTP request, or its failure.
  *
- * @param <T> type of the answer
+ * @param <T> type of the response
  */
 final class SingleResponse<T> implements Subscriber<T> {
     private final Consumer<T> onResponse;
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/package-info.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Threads, links and HTTP around the scheduler's decisions. */
+/** Threads, links and HTTP client around the scheduler's decision logic. */
 package org.whinwharf.scheduler.internal;
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/package-info.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/package-info.java
@@ -1,2 +1,2 @@
-/** Scheduler daemon: owner of slices of targets, voter for others' slices. */
+/** Scheduler daemon, which owns slices of targets and votes on the owners of slices. */
 package org.whinwharf.scheduler;
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/Fixtures.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/Fixtures.java
@@ -17,7 +17,7 @@
 import org.whinwharf.wire.schema.Tier;
 import org.whinwharf.wire.schema.Timing;
 
-/** A small fleet: one service in one data centre. */
+/** Builds the document and the membership of a small fleet with one service. */
 final class Fixtures {
     static final String SERVICE = "llm";
     static final SliceId SLICE =
@@ -70,7 +70,7 @@
         return changed.build();
     }
 
-    /** Hosts whose names begin with b stand in data centre b, all others in data centre a. */
+    /** Creates a view in which hosts whose names begin with b are in data centre b, all others in data centre a. */
     static Membership membership(long revision, Document document, Collection<String> hosts, List<String> targets) {
         HostList.Builder list = HostList.newBuilder().setRevision(revision);
         for (String host : hosts) {
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/FleetModel.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/FleetModel.java
@@ -21,7 +21,7 @@
 import org.whinwharf.wire.message.Refusal;
 import org.whinwharf.wire.schema.Document;
 
-/** Schedulers, homes and targets joined by links that delay, on one clock that the test drives. */
+/** Simulates schedulers, homes and targets that are connected by links with delays, on a clock driven by the test. */
 final class FleetModel {
     static final int SCHEDULERS = 4;
     static final int HOMES = 2;
@@ -181,7 +181,7 @@
         }
     }
 
-    /** A process with a clock of its own that can be frozen. */
+    /** A process with its own clock, which can be frozen. */
     private abstract class Process {
         final String name;
         ProcessId id;
@@ -309,7 +309,7 @@
             at(random.nextInt(100), this::sendHeartbeat);
         }
 
-        /** Dies with its requests; what it had sent goes on at the targets. */
+        /** Restarts and loses its requests, which continue to run at the targets. */
         void restart() {
             ProcessId old = id;
             id = new ProcessId(name, old.incarnation() + 1);
@@ -347,7 +347,7 @@
         void received(Node from, Frame frame) {
             switch (frame.getBodyCase()) {
                 case GRANT -> {
-                    // Some homes use a grant only just before it runs out.
+                    // Some homes use a grant only shortly before it expires.
                     long delayMillis = random.nextInt(3) == 0 ? random.nextInt(600) : 0;
                     ProcessId idAtStart = id;
                     at(
@@ -360,7 +360,7 @@
                 }
                 case REFUSAL -> refused(frame.getRefusal());
                 default -> {
-                    // The home of the model ignores recalls, as one that has just sent its request would.
+                    // The simulated home ignores recalls, like a home that has already sent its request.
                 }
             }
         }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/ModelTarget.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/ModelTarget.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.whinwharf.wire.schema.TargetLoad;
 
-/** Target of the model: bears one request when it has started, and one more with each that it completes. */
+/** Simulated target whose capacity is one request after a start and grows by one with each completed request. */
 final class ModelTarget {
     private final int maxCapacity;
     private final TreeMap<Long, Integer> runningByTime = new TreeMap<>();
@@ -32,7 +32,7 @@
         return true;
     }
 
-    /** Ends a request; returns false when the target has lost it before. */
+    /** Ends a request; returns false when the target lost it in a crash. */
     boolean end(Runnable failed, long nowMillis) {
         boolean ran = running.remove(failed);
         if (ran) {
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/OverloadTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/OverloadTest.java
@@ -18,11 +18,9 @@
     private static final long WARM_UP_MILLIS = 5_000;
     private static final long SETTLE_MILLIS = 6_000;
 
-    // A scheduler dies, sleeps, is cut off or sees another list while its grants and those of its successor are under
-    // way;
-    // a target starts anew in between. A user would notice answers that stall or break because an engine got more than
-    // it
-    // bears.
+    // Guards against overloaded targets, whose answers stall or break. Schedulers restart, freeze, lose their links
+    // or act by different host lists while their grants and those of their successors are in use; targets restart in
+    // between.
     @Property(seed = "20261203", tries = 60, edgeCases = EdgeCasesMode.NONE)
     void noTargetIsOverloaded(
             @ForAll long seed, @ForAll("limits") int maxCapacity, @ForAll("faults") List<Fault> faults) {
@@ -38,7 +36,7 @@
         assertThat(fleet.maxOverload(), is(0));
     }
 
-    // Without this the property above could hold because nothing is ever granted.
+    // Without this test the property above could hold because nothing is ever granted.
     @Example
     void fleetWithoutFaultsServesMostRequests() {
         FleetModel fleet = new FleetModel(1, 16);
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/QueueOrderTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/QueueOrderTest.java
@@ -32,7 +32,7 @@
         assertThat(served.get(100).request(), is(1L));
     }
 
-    // Short requests that keep coming would push a long one back for ever, if it were only a matter of length.
+    // If only length counted, short requests that keep arriving would delay a long one for ever.
     @Test
     void longAnswerIsOvertakenForABoundedTimeOnly() {
         queue.add(Fixtures.waiting(1, 0, "o", 1000, 0));
@@ -45,8 +45,8 @@
         assertThat(servedAtMillis, lessThan(12_000L));
     }
 
-    // A short answer comes while many long ones of its tier wait. Were its wait predicted as if all of them went first,
-    // it would be refused as hopeless although it is served among the next.
+    // A short request arrives while many long ones of its tier wait. If the predicted wait counted all of them, the
+    // request would be refused as hopeless although it is among the next to be served.
     @Test
     void predictedCostCountsOnlyRequestsServedBefore() {
         for (long request = 1; request <= 50; request++) {
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/SchedulerCoreTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/SchedulerCoreTest.java
@@ -67,9 +67,8 @@
         assertThat(grants(), hasSize(1));
     }
 
-    // A target's process is replaced between two readings: its streams break, and the slots that come free would be
-    // filled
-    // up to the limit of the target that was there before.
+    // A target restarts between two readings and its streams fail. Without this rule the freed slots would be filled
+    // up to the limit learned before the restart.
     @Test
     void failureStopsGrantsUntilALaterReadingAndARestartedTargetIsCold() {
         enqueue(1, 0);
@@ -81,8 +80,8 @@
         assertThat(grants(), hasSize(2));
     }
 
-    // The host of a home dies with a request in flight at an engine that bears one. The engine works on for nobody; a
-    // second request would be too much for it.
+    // The host of a home fails with a request in flight at an engine with a limit of one. The engine continues to run
+    // the request, so a second request would overload it.
     @Test
     void slotOfADisconnectedHomeIsTakenUntilAReadingShowsItFree() {
         enqueue(1, 0);
@@ -118,7 +117,7 @@
         assertThat(grants(), hasSize(1));
     }
 
-    // A request whose deadline cannot be met would be prefilled for nothing and delay those that can be served.
+    // A request that cannot meet its deadline would be prefilled in vain and delay requests that can be served.
     @Test
     void requestThatCannotMeetItsDeadlineIsRefusedWithARetryAfterDelay() {
         growTo(2);
@@ -128,8 +127,8 @@
         assertThat(refusal(50).getComeBackMillis(), greaterThan(0L));
     }
 
-    // The prediction of the wait is wrong at times. An inspector was told that the deadline could not be met while a
-    // long summary of a lower tier, which waited all the time, got the next place.
+    // The predicted wait may be wrong. A request of a higher tier was refused as hopeless while a long request of a
+    // lower tier, which waited all the time, got the next slot.
     @Test
     void predictedWaitDoesNotRefuseARequestWhileALowerTierWaits() {
         enqueue(1, 0);
@@ -162,8 +161,8 @@
         assertThat(refusals(73), hasSize(0));
     }
 
-    // Requests that have just arrived show as queued for a moment. The owner believed each such reading, and held its
-    // engines at half of what they bear while callers of lower tiers were turned away.
+    // Requests that have just arrived are briefly reported as queued. The owner applied each such reading, so it kept
+    // the limits at half the capacity of the engines while requests of lower tiers were refused.
     @Test
     void onlySuccessiveReadingsOfAQueueLowerTheLimit() {
         growTo(4);
@@ -177,9 +176,8 @@
         assertThat(core.states(nowMillis).get(0).getTargets(0).getLimit(), is(2));
     }
 
-    // One answer took very long, so everything looks hopeless from then on; nothing is sent, and so nothing can show
-    // that
-    // the target has recovered. Callers would be turned away for ever.
+    // After one very slow answer every request seems unable to meet its deadline. If the old speed counted for ever,
+    // no request would be sent, and the target could never show that it has recovered.
     @Test
     void targetThatWasSlowOnceReceivesRequestsAgain() {
         enqueue(1, 0);
@@ -191,7 +189,7 @@
         assertThat(grants().get(grants().size() - 1).getRequest(), is(3L));
     }
 
-    // Operators lower the bound of a service whose engines are overloaded, and nothing happens at targets that are in
+    // Operators lower the maximum of a service whose engines are overloaded; the change must also apply to targets in
     // use.
     @Test
     void lowerMaximumOfANewDocumentAppliesToKnownTargets() {
@@ -216,9 +214,8 @@
         assertThat(allRefusals().get(0).getRequest(), is(not(6L)));
     }
 
-    // Two owners of one service: this one is full of the highest tier while the other still keeps a low one. Shedding
-    // here
-    // would turn a ranger away while a tourist's request waits elsewhere.
+    // One owner of a service has a queue full of the highest tier while the other owner keeps a request of a low
+    // tier. Shedding immediately would refuse a request of a high tier while one of a low tier waits elsewhere.
     @Test
     void higherTierIsShedOnlyAfterOtherOwnersHaveClearedLowerTiers() {
         hosts = List.of("s0", "b0");
@@ -281,9 +278,8 @@
         assertThat(refusals(6), is(empty()));
     }
 
-    // The host is replaced. What waits must move to the next owner at once, and no grant may be used after that owner
-    // has
-    // begun.
+    // The host is replaced. Waiting requests must move to the next owner immediately, and no grant may be used after
+    // that owner has started to grant.
     @Test
     void plannedStopRefusesWaitingRequestsAndReleasesPledgesOnceNoGrantIsUnused() {
         enqueue(1, 0);
@@ -296,7 +292,7 @@
         assertThat(core.isHandoverComplete(nowMillis), is(true));
     }
 
-    // The process sleeps for longer than its pledges last; another owner has taken over when it wakes.
+    // The process is paused for longer than its pledges last, and another owner has taken over when it resumes.
     @Test
     void ownerGrantsNothingAfterAPauseUntilListsMustAgreeAgain() {
         nowMillis += 10_000;
@@ -308,9 +304,8 @@
         assertThat(grants(), hasSize(1));
     }
 
-    // The first candidate dies and the list does not say so yet. The next one takes over; while it gathers pledges,
-    // homes
-    // turn to other slices, and without anybody asking it must not give up just before it can grant.
+    // The first candidate fails while the list still contains it, and the next candidate takes over. While it gathers
+    // pledges, homes use other slices; the lack of requests must not make it give up just before it can grant.
     @Test
     void laterCandidateKeepsTheSliceUntilTheFirstIsReachable() {
         hosts = List.of("s0", "a1", "a3", "a4");
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/limit/ConcurrencyLimitTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/limit/ConcurrencyLimitTest.java
@@ -20,7 +20,7 @@
         assertThat(limit.value(), is(11));
     }
 
-    // An engine that is past its best serves everybody slowly; the owner must not wait until it refuses.
+    // An overloaded engine is slow for all its requests; the owner must not wait until it refuses.
     @Test
     void decreasesWhenServiceTimeExceedsTheBestObserved() {
         complete(31, 100, true);
@@ -30,8 +30,9 @@
         assertThat(limit.value(), greaterThan(1));
     }
 
-    // The limit had grown beyond what the engine runs at once, since long answers hide a wait at the engine. A short
-    // request of the highest tier waited there behind them until its deadline had passed.
+    // The limit had grown beyond the number of requests that the engine runs concurrently, because long answers hide
+    // the queueing time. A short request of the highest tier was queued at the engine behind them until its deadline
+    // had passed.
     @Test
     void fallsToTheRunningRequestsWhenOthersAreQueuedAtTheTarget() {
         complete(15, 100, true);
@@ -48,7 +49,8 @@
         assertThat(limit.value(), is(8));
     }
 
-    // A target lost its caches and weights without a new start number: each answer takes many times longer at once.
+    // A target lost its caches and weights without a new start number, so each answer suddenly takes many times
+    // longer.
     @Test
     void resetsToColdOnASuddenIncreaseOfServiceTime() {
         complete(15, 100, true);
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/placement/PlacementStrategyTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/placement/PlacementStrategyTest.java
@@ -38,7 +38,7 @@
         assertThat(score(waiting(PREFIXES * CachedPrefixes.BLOCK_TOKENS, 5000)), is("other"));
     }
 
-    // The target's events arrive late and with gaps: the prompt was just served there, but its "stored" events are
+    // Cache events arrive late and with gaps: the prompt was just served at the target, but its "stored" events are
     // lost.
     @Test
     void servedPromptCountsAsCachedWithoutItsEventsAndDroppedBlocksDoNot() {
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/pledge/HeldPledgesTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/pledge/HeldPledgesTest.java
@@ -27,9 +27,8 @@
     private static final long LONG_UNHELD_MILLIS = 60_000;
     private static final long SETTLED_MILLIS = 100_000;
 
-    // Two of three hosts are replaced. One owner has not heard of it and has a majority among the old hosts, the other
-    // one
-    // has a majority among the new ones; an engine would get twice what it bears.
+    // Two of three hosts are replaced. One owner still has the old list and a majority of the old hosts, the other
+    // owner has a majority of the new hosts; together they would send an engine twice its limit.
     @Property(seed = "20261203", tries = 100)
     void ownersWithDifferentListsTogetherStayWithinTheLimit(
             @ForAll @IntRange(min = 1, max = 64) int limit, @ForAll boolean shared) {
@@ -58,7 +57,7 @@
         assertThat(heldPledges.usableSlots(4, obsoleteAtMillis, obsoleteAtMillis), is(4));
     }
 
-    // A process that has just started cannot know which voters others still count by.
+    // A process that has just started does not know by which voters other processes still count.
     @Example
     void startedProcessUsesNothingUntilAllProcessesHaveItsFirstList() {
         MembershipViews views = new MembershipViews();
@@ -68,9 +67,8 @@
         assertThat(heldPledges.usableSlots(4, 600, 600), is(0));
     }
 
-    // The earlier owner's last grants are still under way when its pledges run out; a load measured before they have
-    // run
-    // out does not show them.
+    // The last grants of the earlier owner are still in use when its pledges expire; a load measured before those
+    // grants expire does not include their requests.
     @Example
     void loadMeasuredBeforeEarlierGrantsExpiredIsIgnored() {
         HeldPledges heldPledges = heldPledges(OLD);
@@ -82,7 +80,7 @@
         assertThat(heldPledges.usableSlots(4, effectiveFromMillis, SETTLED_MILLIS + 900), is(4));
     }
 
-    // The owner's messages were held up, or it was frozen; the voter's time ran from when it answered.
+    // The owner's request was delayed, or the owner was frozen; the voter's validity started when it answered.
     @Example
     void pledgeExpiresAtTheOwnerBeforeItExpiresAtTheVoter() {
         HeldPledges heldPledges = heldPledges(OLD);
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/pledge/VoterTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/pledge/VoterTest.java
@@ -33,8 +33,8 @@
 
     private final Voter voter = new Voter(0);
 
-    // A host is restarted and has forgotten that it pledged to one owner. If it pledged to another at once, both would
-    // count it and send twice what a target bears.
+    // A host restarts and has lost its record of pledges. If it pledged to another owner immediately, two owners
+    // would count its pledge and together send twice the limit of a target.
     @Test
     void restartedVoterPledgesNothingUntilItsEarlierPledgesHaveExpired() {
         assertThat(request(FIRST, 1000).getRefusedCount(), is(1));
@@ -50,7 +50,7 @@
         assertThat(pledge.getQuietMillis(0), is(100L));
     }
 
-    // The host that comes first by the list returns, and the present owner would renew its pledges for ever.
+    // The first candidate returns, while the present owner could renew its pledges indefinitely.
     @Test
     void stopsRenewingWhenAPreferredCandidateRequests() {
         request(SECOND, 2000);
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/ProcessId.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/ProcessId.java
@@ -1,9 +1,9 @@
 package org.whinwharf.owner;
 
 /**
- * One start of the entry process of a host.
+ * Identity of one start of an entry process or scheduler.
  *
  * @param host name of the host
- * @param incarnation number drawn at the start of the process
+ * @param incarnation number generated at the start of the process
  */
 public record ProcessId(String host, long incarnation) {}
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerAction.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerAction.java
@@ -2,29 +2,29 @@
 
 import org.whinwharf.wire.message.Frame;
 
-/** What a scheduler is to do. */
+/** Action that {@link SchedulerCore} decides on and its caller performs. */
 public sealed interface SchedulerAction {
     /**
-     * Send a frame to an entry process; dropped when its link is down.
+     * Sends a frame to an entry process; the frame is dropped when no link is up.
      *
-     * @param home the process
-     * @param frame the frame
+     * @param home recipient
+     * @param frame frame to send
      */
     record SendToEntry(ProcessId home, Frame frame) implements SchedulerAction {}
 
     /**
-     * Send a frame to the scheduler of a host; dropped when there is no link.
+     * Sends a frame to the scheduler of a host; the frame is dropped when no link is up.
      *
      * @param host name of the host
-     * @param frame the frame
+     * @param frame frame to send
      */
     record SendToPeer(String host, Frame frame) implements SchedulerAction {}
 
     /**
-     * Count something.
+     * Increments a counter.
      *
-     * @param counter what is counted
-     * @param label refusal reason or tier rank
+     * @param counter the counter
+     * @param label refusal reason, finish kind or tier rank
      */
     record IncrementCounter(SchedulerCounter counter, String label) implements SchedulerAction {}
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerConfiguration.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerConfiguration.java
@@ -8,30 +8,30 @@
 import org.whinwharf.wire.schema.Timing;
 
 /**
- * What the document in force says that a scheduler needs.
+ * Values of the current document that a scheduler uses.
  *
- * @param timings times
- * @param services services by name, absent values filled in
+ * @param timings timings
+ * @param services services by name, with default values filled in
  * @param lowestRank rank of the lowest tier
  */
 public record SchedulerConfiguration(Timings timings, Map<String, ServiceSpec> services, int lowestRank) {
     /**
-     * Takes the rules from a document.
+     * Creates the configuration from a document.
      *
-     * @param document document, absent values filled in
-     * @return the rules
+     * @param document document, with default values filled in
+     * @return the configuration
      */
     public static SchedulerConfiguration of(Document document) {
         return of(document.getServicesList(), document.getTiersList(), document.getTiming());
     }
 
     /**
-     * Takes the rules from the parts of a document.
+     * Creates the configuration from the parts of a document.
      *
-     * @param services services, absent values filled in
+     * @param services services, with default values filled in
      * @param tiers tiers
-     * @param timing times
-     * @return the rules
+     * @param timing timings
+     * @return the configuration
      */
     public static SchedulerConfiguration of(Iterable<ServiceSpec> services, Iterable<Tier> tiers, Timing timing) {
         Map<String, ServiceSpec> byName = new HashMap<>();
@@ -44,10 +44,10 @@
     }
 
     /**
-     * Finds a service.
+     * Returns a service.
      *
      * @param name name of the service
-     * @return the service; an empty one when the document has it not
+     * @return the service; an empty message when the document does not contain it
      */
     public ServiceSpec service(String name) {
         return services.getOrDefault(name, ServiceSpec.getDefaultInstance());
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerContext.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerContext.java
@@ -15,7 +15,7 @@
 import org.whinwharf.wire.message.SliceId;
 import org.whinwharf.wire.schema.ServiceSpec;
 
-/** What all slices of one process share. */
+/** State and operations shared by all slices of one process. */
 final class SchedulerContext {
     private static final long GRANT_IDS_PER_INCARNATION = 1L << 32;
 
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCore.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCore.java
@@ -25,9 +25,11 @@
 import org.whinwharf.wire.status.SliceState;
 
 /**
- * Decisions of one scheduler process: owner of slices, voter for others' slices and party to floors.
+ * Decision logic of one scheduler process: it owns slices, votes on the owners of slices and takes part in the floors
+ * of services.
  *
- * <p>Confined to one thread. Everything happens in {@link #handle}: an event and the time now go in, actions come out.
+ * <p>The class is confined to one thread and does no input or output. {@link #handle} takes an event and the current
+ * time and returns the actions to perform.
  */
 public final class SchedulerCore {
     private static final int PLEDGE_REQUESTS_PER_VALIDITY = 3;
@@ -43,11 +45,11 @@
     private long lastStatusMillis = Long.MIN_VALUE / 2;
 
     /**
-     * Creates the decisions of a process that has just started.
+     * Creates the decision logic of a process that has just started.
      *
      * @param self this process
-     * @param placement how targets are chosen
-     * @param startedAtMillis when the process started
+     * @param placement strategy that chooses targets
+     * @param startedAtMillis start time of the process, by its monotonic clock
      */
     public SchedulerCore(ProcessId self, PlacementStrategy placement, long startedAtMillis) {
         this.context = new SchedulerContext(self, placement, new ProcessOperations());
@@ -57,9 +59,9 @@
     /**
      * Handles an event.
      *
-     * @param event what happened
-     * @param nowMillis time now, by this process's monotonic clock
-     * @return what to do, in this order
+     * @param event the event
+     * @param nowMillis current time, by this process's monotonic clock
+     * @return actions to perform, in this order
      */
     public List<SchedulerAction> handle(SchedulerEvent event, long nowMillis) {
         detectPause(nowMillis);
@@ -72,10 +74,10 @@
     }
 
     /**
-     * Tells whether a planned stop may end: nothing waits here, no grant can still be used, and all pledges are given
-     * back.
+     * Returns whether a planned stop may end: no request waits here, no grant can still be used, and all pledges are
+     * released.
      *
-     * @param nowMillis time now
+     * @param nowMillis current time
      * @return true when the process may exit
      */
     public boolean isHandoverComplete(long nowMillis) {
@@ -83,9 +85,9 @@
     }
 
     /**
-     * Returns the targets whose load is to be read.
+     * Returns the targets whose load must be polled.
      *
-     * @return names of targets of the slices that this process owns or is to own
+     * @return names of the targets of all slices that this process handles
      */
     public Set<String> targetsToPoll() {
         Set<String> targets = new LinkedHashSet<>();
@@ -94,10 +96,10 @@
     }
 
     /**
-     * Returns the number of the last cache event seen of a target.
+     * Returns the number of the last cache event received from a target.
      *
      * @param target name of the target
-     * @return number for the next question; 0 when none was seen
+     * @return number from which the next request for events continues; 0 when no event was received
      */
     public long lastCacheEventNumber(String target) {
         return context.membership()
@@ -109,10 +111,10 @@
     }
 
     /**
-     * Returns the hosts whose schedulers this process must be able to reach.
+     * Returns the hosts to whose schedulers this process needs links.
      *
-     * @param nowMillis time now
-     * @return names of hosts: voters of own slices, owners of the same services, and candidates before this host
+     * @param nowMillis current time
+     * @return names of hosts: voters of its slices, owners of the same services, and candidates before this host
      */
     public Set<String> requiredPeers(long nowMillis) {
         Set<String> peers = new LinkedHashSet<>();
@@ -121,7 +123,7 @@
                 peers.addAll(context.views().voters(owner.slice()));
                 peers.addAll(owners(owner.slice().getService()));
             }
-            // Whether this host may take the slice over depends on whether those before it can be reached.
+            // This host takes a slice over only while the candidates before it are unreachable.
             context.membership().candidates(owner.slice()).stream()
                     .map(Host::getName)
                     .takeWhile(name -> !name.equals(context.self().host()))
@@ -133,10 +135,10 @@
     }
 
     /**
-     * Describes the slices for operators.
+     * Returns the state of the slices, for operators.
      *
-     * @param nowMillis time now
-     * @return one state for each slice that is handled here
+     * @param nowMillis current time
+     * @return one state for each slice that this process handles
      */
     public List<SliceState> states(long nowMillis) {
         return slices.values().stream()
@@ -144,8 +146,8 @@
                 .toList();
     }
 
-    // A paused process wakes with the list of before. It would ask for pledges by voters that others count no more, and
-    // both could have a majority; ticks that come late show the pause.
+    // A paused process resumes with an outdated host list. It would request pledges from voters that other processes
+    // no longer count, and two owners could each have a majority. A long gap between events indicates a pause.
     private void detectPause(long nowMillis) {
         if (context.isReady() && nowMillis - lastEventMillis > pauseThresholdMillis()) {
             context.views().resetAfterPause(context.timings(), nowMillis);
@@ -153,7 +155,7 @@
         lastEventMillis = nowMillis;
     }
 
-    // A shorter pause counts as part of the bound on the list's lag.
+    // A shorter pause is covered by the bound on the list's lag.
     private long pauseThresholdMillis() {
         return Math.max(MIN_PAUSE_MILLIS, context.timings().listLagMillis() / 2);
     }
@@ -225,7 +227,7 @@
                 }
             }
             default -> {
-                // Frames that the daemon handles, or that have no meaning from an entry process.
+                // Other frames are handled by the daemon, or are not expected from an entry process.
             }
         }
     }
@@ -252,7 +254,8 @@
                                         context.timings(),
                                         nowMillis)));
             case HEARTBEAT -> {
-                // Entries ask the next candidate once this one leaves; it must not wait for the link to go down.
+                // Entry processes turn to the next candidate once this scheduler leaves; that candidate must not wait
+                // for the link to go down.
                 if (frame.getHeartbeat().getLeaving()) {
                     context.reachable().remove(scheduler.host());
                 }
@@ -277,7 +280,7 @@
                                 frame.getFloorLower().getService(),
                                 frame.getFloorLower().getFloor());
             default -> {
-                // Frames that the daemon handles, or that have no meaning from a scheduler.
+                // Other frames are handled by the daemon, or are not expected from a scheduler.
             }
         }
     }
@@ -416,9 +419,9 @@
         }
     }
 
-    /** What one slice asks of the whole process. */
+    /** Operations of the process that a slice starts. */
     final class ProcessOperations {
-        /** Gives the pledges of a slice back to all voters. */
+        /** Releases the pledges of a slice at all voters. */
         void release(SliceId slice, long nowMillis) {
             List<SliceId> released = List.of(slice);
             for (String host : context.views().voters(slice)) {
@@ -435,7 +438,10 @@
             }
         }
 
-        /** Raises the floor of a service, clears the own slices first and tells the others. */
+        /**
+         * Raises the floor of a service, evicts requests below it from local slices and announces it to the other
+         * owners.
+         */
         void raiseFloor(String service, int rank, long nowMillis) {
             if (context.floors().raise(service, rank, nowMillis)) {
                 context.count(SchedulerCounter.FLOOR_RAISED, rank);
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCounter.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCounter.java
@@ -1,19 +1,22 @@
 package org.whinwharf.owner;
 
-/** What a scheduler counts. */
+/** Counters of a scheduler; the names of the constants give the names of the metrics. */
 public enum SchedulerCounter {
-    /** Grants given, by tier rank. */
+    /** Grants sent, by tier rank. */
     GRANTED,
-    /** Grants that came back unused, by tier rank. */
+    /** Grants returned unused, by tier rank. */
     UNUSED,
-    /** Grants called back, by tier rank. */
+    /** Grants recalled, by tier rank. */
     RECALLED,
     /** Refusals, by reason. */
     REFUSED,
-    /** Requests shed before all others had cleared lower tiers, since the queue was at its hard bound; by tier rank. */
+    /**
+     * Requests shed before all other owners had cleared lower tiers, because the queue was at its hard bound; by tier
+     * rank.
+     */
     SHED_BEFORE_FLOOR,
     /** Floors raised, by tier rank. */
     FLOOR_RAISED,
-    /** Requests that ended, by how. */
+    /** Requests that ended, by finish kind. */
     FINISHED
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerEvent.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerEvent.java
@@ -5,60 +5,60 @@
 import org.whinwharf.wire.schema.CacheEvents;
 import org.whinwharf.wire.schema.TargetLoad;
 
-/** What can happen to a scheduler. */
+/** Event that {@link SchedulerCore} handles. */
 public sealed interface SchedulerEvent {
     /**
-     * A frame came from an entry process.
+     * A frame was received from an entry process.
      *
-     * @param home the process
-     * @param frame the frame
+     * @param home the entry process
+     * @param frame received frame
      */
     record EntryFrame(ProcessId home, Frame frame) implements SchedulerEvent {}
 
     /**
-     * The link to an entry process is gone.
+     * The last link to an entry process was closed.
      *
-     * @param home the process
+     * @param home the entry process
      */
     record EntryDisconnected(ProcessId home) implements SchedulerEvent {}
 
     /**
-     * A link to another scheduler is up.
+     * The first link to another scheduler was opened.
      *
-     * @param scheduler the process
+     * @param scheduler the other scheduler
      */
     record PeerConnected(ProcessId scheduler) implements SchedulerEvent {}
 
     /**
-     * A frame came from another scheduler.
+     * A frame was received from another scheduler.
      *
-     * @param scheduler the process
-     * @param frame the frame
+     * @param scheduler the other scheduler
+     * @param frame received frame
      */
     record PeerFrame(ProcessId scheduler, Frame frame) implements SchedulerEvent {}
 
     /**
-     * The link to another scheduler is gone.
+     * The last link to another scheduler was closed.
      *
-     * @param scheduler the process
+     * @param scheduler the other scheduler
      */
     record PeerDisconnected(ProcessId scheduler) implements SchedulerEvent {}
 
     /**
-     * A new host list or document is in force.
+     * A new host list or document is in effect.
      *
-     * @param membership view of both
-     * @param configuration what the document says
+     * @param membership membership that results from both
+     * @param configuration scheduler settings from the document
      */
     record ConfigurationChanged(Membership membership, SchedulerConfiguration configuration)
             implements SchedulerEvent {}
 
     /**
-     * A target's load was read.
+     * A target's load was received.
      *
      * @param target name of the target
-     * @param load its answer
-     * @param requestedAtMillis when it was asked
+     * @param load response of the target
+     * @param requestedAtMillis time at which the load was requested
      */
     record LoadReceived(String target, TargetLoad load, long requestedAtMillis) implements SchedulerEvent {}
 
@@ -70,14 +70,14 @@
     record LoadRequestFailed(String target) implements SchedulerEvent {}
 
     /**
-     * Cache events of a target were read.
+     * Cache events of a target were received.
      *
      * @param target name of the target
-     * @param events its answer
+     * @param events response of the target
      */
     record CacheEventsReceived(String target, CacheEvents events) implements SchedulerEvent {}
 
-    /** Time passes. */
+    /** Periodic tick. */
     record Tick() implements SchedulerEvent {}
 
     /** A planned stop begins. */
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SliceOwner.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SliceOwner.java
@@ -24,7 +24,7 @@
 import org.whinwharf.wire.message.SliceId;
 import org.whinwharf.wire.schema.Host;
 
-/** Queue, pledges and targets of one slice at the process that owns it or is to own it. */
+/** Queue, pledges and targets of one slice, at a process that owns the slice or is a candidate for it. */
 final class SliceOwner {
     private static final int HARD_BOUND_FACTOR = 2;
     private static final double FLOOR_EXTENSION_RATIO = 0.8;
@@ -79,7 +79,10 @@
         schedule(nowMillis);
     }
 
-    /** Tells whether this process is to own the slice: first by the list, or the first that can be reached. */
+    /**
+     * Returns whether this process should own the slice: it is the first candidate by the list, or the first one that
+     * is reachable.
+     */
     boolean shouldOwn(long nowMillis) {
         if (context.isLeaving() || !context.membership().slices().contains(slice)) {
             return false;
@@ -97,12 +100,15 @@
         return false;
     }
 
-    /** Tells whether pledges are to be asked for, also while grants are still out. */
+    /** Returns whether pledges must be requested, which includes the time while grants may still be unused. */
     boolean needsPledges(long nowMillis) {
         return shouldOwn(nowMillis) || mayHoldPledges && targets.hasUnusedGrants(nowMillis);
     }
 
-    /** Tells whether nothing of the slice is left here. */
+    /**
+     * Returns whether nothing of the slice remains at this process: no claim, waiting request, pledge or request in
+     * flight.
+     */
     boolean isIdle(long nowMillis) {
         return !shouldOwn(nowMillis)
                 && queue.size() == 0
@@ -148,7 +154,7 @@
             case UNUSED ->
                 slot.map(Slot::waiting).ifPresent(waiting -> context.count(SchedulerCounter.UNUSED, waiting.rank()));
             default -> {
-                // What failed or was cancelled says nothing of how fast the slice drains.
+                // Failed or cancelled requests say nothing about the drain rate of the slice.
             }
         }
         schedule(nowMillis);
@@ -161,14 +167,14 @@
         schedule(nowMillis);
     }
 
-    /** Refuses what waits below a rank. */
+    /** Refuses the waiting requests below a rank. */
     void evictBelow(int rank, long nowMillis) {
         for (WaitingRequest waiting : queue.belowRank(rank)) {
             evict(waiting, RefusalReason.BELOW_FLOOR, nowMillis);
         }
     }
 
-    /** Does all that is due now. */
+    /** Performs all work that is due: expires orphans, recalls, evicts, sheds and grants. */
     void schedule(long nowMillis) {
         targets.expireOrphans(nowMillis);
         targets.recallFromUnusable(nowMillis, this::recall);
@@ -188,7 +194,7 @@
         grant(nowMillis);
     }
 
-    /** Predicts how long a fresh request of a tier waits. */
+    /** Predicts the wait of a new request of a tier. */
     long estimatedWaitMillis(int rank, long nowMillis) {
         return (long) drainRate.predictMillis(queue.costAhead(rank), nowMillis);
     }
@@ -221,8 +227,8 @@
         if (waiting.rank() < context.floors().effectiveRank(slice.getService(), nowMillis)) {
             return Optional.of(RefusalReason.BELOW_FLOOR);
         }
-        // The prediction may be wrong, and a lower request that waits here would then get the place of this one. It
-        // is given up only when its deadline cannot be met even if it were next.
+        // The predicted wait may be wrong, and a lower request in the queue would then be served instead of this one.
+        // So while a lower tier waits, the request is refused only if it would miss its deadline without any wait.
         double waitMillis = queue.hasBelowRank(waiting.rank())
                 ? 0
                 : WAIT_DISCOUNT * drainRate.predictMillis(queue.costBefore(waiting), nowMillis);
@@ -265,9 +271,9 @@
         }
     }
 
-    // A full queue sheds the lowest tier first. Only the lowest tier of the document may be shed without asking:
-    // anything
-    // else might be kept out by a lower request that waits at another owner.
+    // A full queue sheds the lowest tier first. Only the lowest tier of the document may be shed without consulting
+    // other owners, because a request of another tier might be displaced by a lower request that waits at another
+    // owner.
     private void shedExcess(long nowMillis) {
         int maxWaiting = context.service(slice.getService()).getMaxWaiting();
         while (queue.size() > maxWaiting) {
@@ -281,7 +287,7 @@
             }
             evict(victim, RefusalReason.SHED, nowMillis);
         }
-        // A floor that fell whenever the queue is just not too long would rise again with the next request.
+        // If the floor were lowered as soon as the queue is just short enough, the next request would raise it again.
         if (queue.size() > FLOOR_EXTENSION_RATIO * maxWaiting) {
             context.floors().extend(slice.getService(), nowMillis);
         }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SliceStatusReporter.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SliceStatusReporter.java
@@ -11,13 +11,13 @@
 import org.whinwharf.wire.status.TargetState;
 import org.whinwharf.wire.status.TierQueue;
 
-/** Tells homes and operators how a slice stands. */
+/** Reports the status of a slice to homes and operators. */
 final class SliceStatusReporter {
     private static final long HOME_RETENTION_MILLIS = 10_000;
 
     private SliceStatusReporter() {}
 
-    /** Sends the status to the homes that were heard from lately, and forgets the others. */
+    /** Sends the status to the homes with recent contact, and removes the others. */
     static void send(SliceOwner owner, SchedulerContext context, long nowMillis) {
         owner.lastContactMillis().values().removeIf(contactMillis -> nowMillis - contactMillis > HOME_RETENTION_MILLIS);
         if (owner.lastContactMillis().isEmpty()) {
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SliceTargets.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SliceTargets.java
@@ -20,7 +20,7 @@
 import org.whinwharf.wire.schema.Host;
 import org.whinwharf.wire.schema.Limits;
 
-/** Targets of one slice as its owner knows them. */
+/** Accounts of the targets of one slice, at its owner. */
 final class SliceTargets {
     private final SliceId slice;
     private final SchedulerContext context;
@@ -50,7 +50,7 @@
         return (int) usable.values().stream().filter(Boolean::booleanValue).count();
     }
 
-    /** Takes in a new view; a target that comes back into service is treated as cold. */
+    /** Applies the current membership; a target that returns to service is treated as cold. */
     void update() {
         Map<String, Boolean> usableBefore = new LinkedHashMap<>(usable);
         usable.clear();
@@ -129,7 +129,10 @@
         return accounts.values().stream().anyMatch(account -> account.hasUnusedGrants(nowMillis));
     }
 
-    /** Predicts how long the request takes at the best target; 0 when no target's speed is known. */
+    /**
+     * Returns the shortest predicted duration of the request at any usable target; 0 when no target has a recent
+     * sample.
+     */
     double minPredictedMillis(WaitingRequest waiting, long nowMillis) {
         return accounts.values().stream()
                 .filter(account -> isUsable(account.name()) && account.speed().hasRecentSample(nowMillis))
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/Timings.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/Timings.java
@@ -3,14 +3,14 @@
 import org.whinwharf.wire.schema.Timing;
 
 /**
- * Times that the decisions use, with margins for clocks that differ in rate.
+ * Durations from the document, with margins for the difference in rate between clocks.
  *
- * @param grantMillis how long a grant lasts
- * @param pledgeMillis how long a pledge lasts
- * @param listLagMillis bound on the lag of the host list
- * @param loadLagMillis bound on the lag of a target's reported load
- * @param clockRatePpm bound on how much two clocks differ in rate, parts per million
- * @param floorWaitMillis how long an owner waits for others before it sheds
+ * @param grantMillis validity of a grant
+ * @param pledgeMillis validity of a pledge
+ * @param listLagMillis upper bound on the lag of the host list
+ * @param loadLagMillis upper bound on the lag of a target's reported load
+ * @param clockRatePpm upper bound on the difference in rate between two clocks, in parts per million
+ * @param floorWaitMillis maximum time for which an owner waits for other owners to clear a floor before it sheds
  */
 public record Timings(
         long grantMillis,
@@ -19,17 +19,19 @@
         long loadLagMillis,
         int clockRatePpm,
         long floorWaitMillis) {
-    /** Time that a request sent in the last instant of its grant may take until its target counts it. */
+    /**
+     * Maximum time from sending a request, at the latest when its grant expires, until the target counts the request.
+     */
     public static final long MAX_TRANSIT_MILLIS = 250;
 
     private static final long MAX_LOAD_AGE_FACTOR = 3;
     private static final double PARTS_PER_MILLION = 1_000_000;
 
     /**
-     * Takes the times from the document.
+     * Creates the timings from a document.
      *
-     * @param timing times of the document, absent values filled in
-     * @return the times
+     * @param timing timings of the document, with default values filled in
+     * @return the timings
      */
     public static Timings of(Timing timing) {
         return new Timings(
@@ -42,9 +44,9 @@
     }
 
     /**
-     * Returns the longest that a duration measured by another clock can last by this one.
+     * Returns the maximum duration by this clock of a duration measured by another clock.
      *
-     * @param millis duration by the other clock
+     * @param millis duration by the other clock, in milliseconds
      * @return upper bound in milliseconds
      */
     public long upperBoundMillis(long millis) {
@@ -52,9 +54,9 @@
     }
 
     /**
-     * Returns the shortest that a duration measured by another clock can last by this one.
+     * Returns the minimum duration by this clock of a duration measured by another clock.
      *
-     * @param millis duration by the other clock
+     * @param millis duration by the other clock, in milliseconds
      * @return lower bound in milliseconds
      */
     public long lowerBoundMillis(long millis) {
@@ -62,16 +64,16 @@
     }
 
     /**
-     * Returns how long after its making a grant can still put a request at its target.
+     * Returns the time after which a grant can no longer cause a request to arrive at its target.
      *
-     * @return milliseconds by the owner's clock
+     * @return milliseconds since the grant, by the owner's clock
      */
     public long grantExpiryMillis() {
         return upperBoundMillis(grantMillis) + MAX_TRANSIT_MILLIS;
     }
 
     /**
-     * Returns how old a reading of a target's load may be before the target counts as unknown.
+     * Returns the maximum age of a load reading; a target without a newer reading receives no requests.
      *
      * @return milliseconds
      */
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/floor/AdmissionFloors.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/floor/AdmissionFloors.java
@@ -11,14 +11,16 @@
 import org.whinwharf.wire.message.FloorRaise;
 
 /**
- * Floors of services: while a floor stands nothing below its rank is kept or admitted by any owner of the service.
+ * Admission thresholds of services, called floors in the messages: while a floor is in force, every owner of the
+ * service refuses and evicts the requests of tiers below its rank.
  *
- * <p>An owner that must shed a request raises the floor to that request's rank first, and sheds it only when all owners
- * that it reaches have cleared what waits below, or when the wait for them is over. Without this an owner with a full
- * queue would turn away a high tier while the owner of the next slice keeps a low one.
+ * <p>An owner that must shed a request first raises the floor to the rank of that request. It sheds the request only
+ * when all reachable owners have cleared their queues below the floor, or when the wait for them times out. Otherwise
+ * an owner with a full queue would refuse a request of a high tier while the owner of another slice keeps one of a low
+ * tier.
  */
 public final class AdmissionFloors {
-    /** How long a floor stands at others without being renewed. */
+    /** Time for which a floor remains in force at other owners without renewal. */
     public static final long VALIDITY_MILLIS = 3_000;
 
     private static final long RENEW_INTERVAL_MILLIS = 1_000;
@@ -29,21 +31,21 @@
     private long nextNumber;
 
     /**
-     * Creates the floors of a process.
+     * Creates the floors of a process; none is raised.
      *
-     * @param firstNumber number of the first floor that is raised; differs between processes
+     * @param firstNumber number of the first floor that this process raises; differs between processes
      */
     public AdmissionFloors(long firstNumber) {
         this.nextNumber = firstNumber;
     }
 
     /**
-     * Raises the floor of a service, or keeps it up.
+     * Raises the floor of a service, or extends it when it is already high enough.
      *
      * @param service the service
-     * @param rank rank that is to be shed
-     * @param nowMillis time now
-     * @return true when the floor is new or higher than before, so that others must be told
+     * @param rank rank of the request to shed
+     * @param nowMillis current time
+     * @return true when the floor is new or higher than before, so that it must be announced to the other owners
      */
     public boolean raise(String service, int rank, long nowMillis) {
         LocalFloor current = localFloors.get(service);
@@ -56,10 +58,10 @@
     }
 
     /**
-     * Keeps a floor up that was raised before; does nothing when there is none.
+     * Extends the floor of a service when one is raised; does nothing otherwise.
      *
      * @param service the service
-     * @param nowMillis time now
+     * @param nowMillis current time
      */
     public void extend(String service, long nowMillis) {
         LocalFloor floor = localFloors.get(service);
@@ -69,11 +71,11 @@
     }
 
     /**
-     * Returns the message that raises the floor, for owners that have not cleared yet or must be renewed.
+     * Returns the message that announces or renews a floor, and records the owners that must confirm it.
      *
      * @param service the service
      * @param owners hosts that may own slices of the service
-     * @param nowMillis time now
+     * @param nowMillis current time
      * @return the message
      */
     public FloorRaise announce(String service, Set<String> owners, long nowMillis) {
@@ -89,9 +91,9 @@
     }
 
     /**
-     * Returns the services whose floor must be announced again.
+     * Returns the services whose floors are due for renewal.
      *
-     * @param nowMillis time now
+     * @param nowMillis current time
      * @return names of services
      */
     public List<String> servicesToAnnounce(long nowMillis) {
@@ -105,9 +107,9 @@
     }
 
     /**
-     * Lowers the floors that are needed no more.
+     * Lowers the floors that are no longer needed, and removes expired floors of other owners.
      *
-     * @param nowMillis time now
+     * @param nowMillis current time
      * @return numbers of the lowered floors, by service
      */
     public Map<String, Long> lowerUnneeded(long nowMillis) {
@@ -124,10 +126,10 @@
     }
 
     /**
-     * Records that an owner keeps nothing below a floor.
+     * Records the confirmation of an owner that its queue holds no request below a floor.
      *
      * @param host host of the owner
-     * @param cleared its answer
+     * @param cleared message of the owner
      */
     public void recordCleared(String host, FloorCleared cleared) {
         LocalFloor floor = localFloors.get(cleared.getService());
@@ -137,14 +139,15 @@
     }
 
     /**
-     * Tells whether a request may be shed.
+     * Returns whether a request may be shed.
      *
      * @param service the service
      * @param rank rank of the request
-     * @param reachable hosts that this process has links to
-     * @param timings times in force
-     * @param nowMillis time now
-     * @return true when nothing below the rank is kept by those that can be reached
+     * @param reachable hosts to which this process has links
+     * @param timings timings of the current document
+     * @param nowMillis current time
+     * @return true when all reachable owners have cleared their queues below the rank, or the wait for them has timed
+     *     out
      */
     public boolean mayShed(String service, int rank, Set<String> reachable, Timings timings, long nowMillis) {
         LocalFloor floor = localFloors.get(service);
@@ -157,11 +160,11 @@
     }
 
     /**
-     * Takes in a floor of another owner.
+     * Adds or renews a floor of another owner.
      *
      * @param host host of the owner
      * @param raise the message
-     * @param nowMillis time now
+     * @param nowMillis current time
      */
     public void addRemote(String host, FloorRaise raise, long nowMillis) {
         RemoteFloorKey key = new RemoteFloorKey(host, raise.getService(), raise.getFloor());
@@ -169,7 +172,7 @@
     }
 
     /**
-     * Ends a floor of another owner.
+     * Removes a floor of another owner.
      *
      * @param host host of the owner
      * @param service the service
@@ -180,11 +183,11 @@
     }
 
     /**
-     * Returns the rank below which nothing is kept now.
+     * Returns the rank below which requests are currently refused.
      *
      * @param service the service
-     * @param nowMillis time now
-     * @return the highest rank of all floors that stand; 0 when none does
+     * @param nowMillis current time
+     * @return the highest rank of all floors in force; 0 when there is none
      */
     public int effectiveRank(String service, long nowMillis) {
         LocalFloor localFloor = localFloors.get(service);
@@ -202,7 +205,7 @@
 
     private record RemoteFloor(int rank, long expiryMillis) {}
 
-    /** Floor that this process has raised. */
+    /** Floor raised by this process. */
     private static final class LocalFloor {
         private final long number;
         private final int rank;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/floor/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/floor/package-info.java
@@ -1,2 +1,2 @@
-/** Agreement between owners that nothing below a tier is kept while that tier is shed. */
+/** Agreement between the owners of a service to keep no request below a tier while that tier is shed. */
 package org.whinwharf.owner.floor;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/CompletionSample.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/CompletionSample.java
@@ -1,12 +1,12 @@
 package org.whinwharf.owner.limit;
 
 /**
- * What one completed request took.
+ * Measured times and token counts of one completed request.
  *
- * @param firstTokenMillis time until the first token; 0 when there was none
- * @param totalMillis time until the end
- * @param prefillTokens prompt tokens that the cache did not hold
- * @param promptTokens prompt tokens in all
+ * @param firstTokenMillis time to the first token; 0 when there was none
+ * @param totalMillis time to the end of the answer
+ * @param prefillTokens prompt tokens that were not in the target's cache
+ * @param promptTokens all tokens of the prompt
  * @param answerTokens tokens of the answer
  */
 public record CompletionSample(
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ConcurrencyLimit.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ConcurrencyLimit.java
@@ -3,11 +3,11 @@
 import org.whinwharf.wire.schema.Limits;
 
 /**
- * Learned number of requests that one target bears at once.
+ * Learned limit on the number of requests that one target runs concurrently.
  *
- * <p>Grows by completions, not by time: an engine that has just started gains nothing from waiting, only from work done
- * well. Shrinks when service time exceeds the best seen, when the target refuses, and falls to the cold value when the
- * target seems to have started anew.
+ * <p>The limit grows with completed requests, not with time, because an engine that has just started warms up only by
+ * the requests that it completes. The limit decreases when the service time exceeds the best observed value and when
+ * the target refuses a request. It returns to the cold value when the target seems to have restarted.
  */
 public final class ConcurrencyLimit {
     private static final double SMOOTHING_FACTOR = 0.3;
@@ -29,9 +29,9 @@
     private double baselineUnitMillis;
 
     /**
-     * Creates the limit of a target that is taken to be cold.
+     * Creates the limit of a target that is assumed to be cold.
      *
-     * @param limits bounds of the document, absent values filled in
+     * @param limits bounds from the document, with default values filled in
      */
     public ConcurrencyLimit(Limits limits) {
         this.limits = limits;
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Takes in other bounds; what was learned stays, as far as the bounds allow it.
+     * Applies new bounds and keeps the learned limit as far as they allow it.
      *
-     * @param newLimits bounds of the document, absent values filled in
+     * @param newLimits bounds from the document, with default values filled in
      */
     public void updateBounds(Limits newLimits) {
         if (!newLimits.equals(limits)) {
@@ -54,14 +54,14 @@
     /**
      * Returns the limit.
      *
-     * @return requests in flight that the target bears
+     * @return maximum number of requests in flight
      */
     public int value() {
         return value;
     }
 
     /**
-     * Tells whether the target is still treated as just started.
+     * Returns whether the target is still treated as just started.
      *
      * @return true while the limit is at its cold value
      */
@@ -70,15 +70,15 @@
     }
 
     /**
-     * Tells whether the limit is still in its fast growth after a start.
+     * Returns whether the limit still grows with every sample taken at the limit, as after a start of the target.
      *
-     * @return true until the first step back, or until the bound is reached
+     * @return true until the first decrease, or until the limit reaches its upper bound
      */
     public boolean isInSlowStart() {
         return value < slowStartThreshold;
     }
 
-    /** Falls back to the cold value and forgets how fast the target was. */
+    /** Resets the limit to the cold value and discards the observed service times. */
     public void resetToCold() {
         value = Math.min(limits.getCold(), limits.getMost());
         slowStartThreshold = limits.getMost();
@@ -95,10 +95,12 @@
     }
 
     /**
-     * Learns that requests wait inside the target, where nobody can put them in order: it runs fewer at once than the
-     * limit allows. Long answers hide such a wait in their own length, so that service time alone shows it late.
+     * Lowers the limit to the number of running requests while further requests are queued inside the target.
      *
-     * @param running requests that the target ran while others waited there
+     * <p>A queue inside the target is not ordered by tier. Service time alone reveals it late, because the queueing
+     * time is small beside the duration of long answers.
+     *
+     * @param running requests that the target ran while others were queued there
      */
     public void onQueued(int running) {
         int newValue = Math.max(Math.min(limits.getCold(), limits.getMost()), running);
@@ -113,9 +115,9 @@
     /**
      * Learns from a completed request.
      *
-     * @param sample what it took
-     * @param limitReached true when the limit was nearly used up while it ran, so that the sample says something about
-     *     growth
+     * @param sample measured times and token counts
+     * @param limitReached true when the grant of the request used the last free slot, so that the sample shows whether
+     *     the limit can grow
      */
     public void onCompleted(CompletionSample sample, boolean limitReached) {
         double unitMillis = unitMillis(sample);
@@ -152,14 +154,16 @@
         smoothedUnitMillis = smoothedUnitMillis == 0
                 ? unitMillis
                 : smoothedUnitMillis + SMOOTHING_FACTOR * (unitMillis - smoothedUnitMillis);
-        // The best ages, since a target that became slower for good would otherwise be held down for ever.
+        // The baseline rises slowly, since a target that became permanently slower would otherwise keep a low limit
+        // for ever.
         baselineUnitMillis = baselineUnitMillis == 0
                 ? smoothedUnitMillis
                 : Math.min(baselineUnitMillis * BASELINE_GROWTH_FACTOR, smoothedUnitMillis);
     }
 
     private void decreaseOnce() {
-        // What completes now was admitted before the last step back took effect; it says nothing about the new limit.
+        // Requests that complete now were admitted before the last decrease took effect, so they say nothing about
+        // the new limit.
         if (samplesSinceDecrease > value) {
             shrink(DECREASE_FACTOR);
         }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ForeignLoadEstimator.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ForeignLoadEstimator.java
@@ -6,12 +6,12 @@
 import org.whinwharf.owner.Timings;
 
 /**
- * Upper bound on the requests in flight at a target that its owner did not grant itself, from late load readings.
+ * Estimates how many requests in flight at a target were not granted by this owner, from delayed load readings.
  *
- * <p>A reading counts the owner's own requests too, and the owner cannot tell which of them had arrived when the
- * reading was taken. Only those that surely had are subtracted. While this owner holds a pledge nobody else can add
- * work under it, so the bound of an old reading still holds, and the smallest of the last readings is used. Readings
- * older than a pledge say nothing about what was granted before the pledge.
+ * <p>A reading also counts this owner's requests, and the owner cannot tell which of them had arrived when the reading
+ * was taken. The upper bound subtracts only those that had certainly arrived. While this owner holds a pledge, no other
+ * owner can add requests under it, so the bound of an old reading remains valid and the smallest bound of the last
+ * readings is used. A reading that is older than a pledge says nothing about requests granted before the pledge.
  */
 final class ForeignLoadEstimator {
     private static final int MAX_READINGS = 16;
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Adds requests that were counted as the owner's own and whose end it will never hear of. */
+    /** Adds requests that were counted as this owner's and whose end it will never learn of. */
     void addAbandoned(int count) {
         bounds.forEach(bound -> bound.abandoned += count);
         if (tightest != null) {
@@ -62,7 +62,7 @@
         return smallest;
     }
 
-    /** Returns how many requests the last reading shows that cannot be the owner's own. */
+    /** Returns how many requests in the last reading cannot have been granted by this owner. */
     int lowerBound(LoadReading last, int takenSlots) {
         int maxOwnRequests = takenSlots;
         for (Ended end : endedRequests) {
@@ -80,9 +80,8 @@
     }
 
     private record Ended(long grantedAtMillis, long endedAtMillis, long totalMillis, boolean sent) {
-        // The home measured how long the request ran: so it was sent that long before its end was heard of at the
-        // latest,
-        // and it ended that long after its grant at the earliest.
+        // The home measured how long the request ran. So the request was sent at least that long before its end was
+        // reported, and it ended at least that long after its grant.
         boolean wasInFlightAt(LoadReading reading, Timings timings) {
             long minRunMillis = timings.lowerBoundMillis(totalMillis);
             return sent
@@ -113,7 +112,8 @@
                     ownRequests++;
                 }
             }
-            // What was once known to be the owner's own stays so, also when it has ended since and is counted no more.
+            // A request once known to be this owner's stays subtracted, also after it has ended and is no longer
+            // counted.
             foreign = Math.min(foreign, Math.max(0, reading.total() - ownRequests));
         }
 
@@ -121,7 +121,7 @@
             return foreign + abandoned;
         }
 
-        // Others may have granted, since the reading, what this owner could not use at the time of the reading.
+        // Since the reading, other owners may have granted the slots that this owner could not use at that time.
         int currentBound(int limit, UsableShare share) {
             int usable = share.usableSlots(limit, reading.earliestMillis());
             return usable <= 0 ? Integer.MAX_VALUE : Math.max(total(), limit - usable);
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/LoadReading.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/LoadReading.java
@@ -4,23 +4,23 @@
 import org.whinwharf.wire.schema.TargetLoad;
 
 /**
- * Load that a target reported.
+ * Load reported by a target, with bounds on the time of its measurement.
  *
- * @param startNumber differs after each start of the target
- * @param total requests running and queued there
- * @param queued requests that the target had admitted but not begun
- * @param earliestMillis earliest instant at which it can have been measured, by the owner's clock
- * @param latestMillis latest instant at which it can have been measured, by the owner's clock
- * @param models models that the target serves; empty when it does not say
+ * @param startNumber number that changes with each start of the target
+ * @param total requests that run or are queued at the target
+ * @param queued requests that the target has admitted but not started
+ * @param earliestMillis earliest possible time of the measurement, by the owner's monotonic clock
+ * @param latestMillis latest possible time of the measurement, by the owner's monotonic clock
+ * @param models models that the target serves; empty when the target does not report them
  */
 public record LoadReading(
         long startNumber, int total, int queued, long earliestMillis, long latestMillis, List<String> models) {
     /**
-     * Reads an answer of a target.
+     * Creates a reading from a target's response.
      *
-     * @param load the answer
-     * @param requestedAtMillis when it was asked
-     * @param receivedAtMillis when the answer came
+     * @param load response of the target
+     * @param requestedAtMillis when the load was requested
+     * @param receivedAtMillis when the response was received
      * @return the reading
      */
     public static LoadReading of(TargetLoad load, long requestedAtMillis, long receivedAtMillis) {
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/Slot.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/Slot.java
@@ -3,7 +3,12 @@
 import org.whinwharf.owner.ProcessId;
 import org.whinwharf.owner.queue.WaitingRequest;
 
-/** One request that is, or may come to be, in flight at a target. Confined to the account that made it. */
+/**
+ * A slot of a target's limit, taken by one granted request.
+ *
+ * <p>The request is in flight, or may still be sent under its grant. A slot is confined to the {@link TargetAccount}
+ * that created it.
+ */
 public final class Slot {
     static final long NO_EXPIRY = Long.MAX_VALUE;
 
@@ -44,7 +49,7 @@
     }
 
     /**
-     * Returns the request's id at its home.
+     * Returns the id of the request at its home.
      *
      * @return id
      */
@@ -53,7 +58,7 @@
     }
 
     /**
-     * Returns the grant's id.
+     * Returns the id of the grant.
      *
      * @return id; 0 for a request that an earlier owner granted
      */
@@ -62,18 +67,18 @@
     }
 
     /**
-     * Returns what was granted.
+     * Returns the request as it was queued.
      *
-     * @return the request as it waited; null for a request that an earlier owner granted
+     * @return queued request; null for a request that an earlier owner granted
      */
     public WaitingRequest waiting() {
         return waiting;
     }
 
     /**
-     * Tells whether the limit was used up when this was granted.
+     * Returns whether the grant used the last free slot of the limit.
      *
-     * @return true when it was
+     * @return true when no slot was free after the grant
      */
     public boolean limitReached() {
         return limitReached;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/TargetAccount.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/TargetAccount.java
@@ -14,10 +14,10 @@
 import org.whinwharf.wire.schema.Limits;
 import org.whinwharf.wire.schema.TargetLoad;
 
-/** What the owner of a slice knows of one target: its limit, its speed and what is in flight there. */
+/** Records one target for the owner of its slice: concurrency limit, speed, cached prefixes and requests in flight. */
 public final class TargetAccount {
     private static final int MIN_QUEUED_READINGS = 3;
-    // Targets report late and may tell the same measurement several times.
+    // Targets report with a delay and may report the same measurement several times.
     private static final long MIN_READING_INTERVAL_MILLIS = 100;
 
     private static final long NONE = Long.MIN_VALUE;
@@ -35,10 +35,10 @@
     private long suspectSinceMillis = NONE;
 
     /**
-     * Creates the account of a target of which nothing is known.
+     * Creates the account of a target about which nothing is known.
      *
      * @param name name of the target
-     * @param limits bounds of the document
+     * @param limits bounds from the document
      */
     public TargetAccount(String name, Limits limits) {
         this.name = name;
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Returns the prefixes that the target's cache is believed to hold.
+     * Returns the prompt prefixes that the target's cache is assumed to hold.
      *
      * @return prefixes
      */
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Returns the last load reading.
+     * Returns the latest load reading.
      *
      * @return reading; empty when there is none since the target was last lost sight of
      */
@@ -91,19 +91,19 @@
     }
 
     /**
-     * Returns the number of requests that this owner granted and that have not ended.
+     * Returns the number of granted requests that have not ended.
      *
-     * @return slots taken
+     * @return number of slots taken
      */
     public int inFlight() {
         return slots.size();
     }
 
     /**
-     * Tells whether the target serves a model.
+     * Returns whether the target serves a model.
      *
-     * @param model name of the model; empty when the request names none
-     * @return false only when the target named its models and this is none of them
+     * @param model name of the model; empty when the request does not name one
+     * @return false only when the target reported its models and this one is not among them
      */
     public boolean serves(String model) {
         return model.isEmpty()
@@ -113,12 +113,12 @@
     }
 
     /**
-     * Returns how many more requests may be granted now.
+     * Returns how many more requests may be granted.
      *
      * @param share part of the limit that the owner may use
-     * @param timings times in force
-     * @param nowMillis time now
-     * @return free slots; 0 while the target is unknown
+     * @param timings timings of the current document
+     * @param nowMillis current time
+     * @return free slots; 0 while the target has no current load reading
      */
     public int freeSlots(UsableShare share, Timings timings, long nowMillis) {
         if (!hasCurrentLoad(timings, nowMillis)) {
@@ -132,11 +132,11 @@
     }
 
     /**
-     * Tells whether the last reading is young enough and no failure came after it.
+     * Returns whether the latest load reading is recent enough and newer than the last failure.
      *
-     * @param timings times in force
-     * @param nowMillis time now
-     * @return false when nothing may be sent to the target
+     * @param timings timings of the current document
+     * @param nowMillis current time
+     * @return false when no request may be granted to the target
      */
     public boolean hasCurrentLoad(Timings timings, long nowMillis) {
         return latest != null
@@ -147,11 +147,11 @@
     /**
      * Takes a slot.
      *
-     * @param waiting the request
+     * @param waiting the granted request
      * @param grant id of the grant
-     * @param limitReached true when this uses up the limit
-     * @param timings times in force
-     * @param nowMillis time now
+     * @param limitReached true when this takes the last free slot
+     * @param timings timings of the current document
+     * @param nowMillis current time
      */
     public void grant(WaitingRequest waiting, long grant, boolean limitReached, Timings timings, long nowMillis) {
         long latestArrivalMillis = nowMillis + timings.grantExpiryMillis();
@@ -160,11 +160,12 @@
     }
 
     /**
-     * Counts a request that a home says is in flight from an earlier owner's grant, unless it is counted already.
+     * Takes a slot for a request that a home reports in flight under an earlier owner's grant, unless it already has
+     * one.
      *
-     * @param home the home
-     * @param request the request's id there
-     * @param nowMillis time now
+     * @param home home of the request
+     * @param request id of the request at its home
+     * @param nowMillis current time
      */
     public void adopt(ProcessId home, long request, long nowMillis) {
         if (slots.stream().noneMatch(slot -> slot.home().equals(home) && slot.request() == request)) {
@@ -173,13 +174,13 @@
     }
 
     /**
-     * Frees the slot of a request that has ended and learns from it.
+     * Frees the slot of a request that has ended and updates the limit and the speed from its result.
      *
-     * @param home the home
-     * @param finished what the home says
-     * @param timings times in force
-     * @param nowMillis time now
-     * @return the slot; empty when none was counted for it
+     * @param home home of the request
+     * @param finished result reported by the home
+     * @param timings timings of the current document
+     * @param nowMillis current time
+     * @return the slot; empty when the request had none
      */
     public Optional<Slot> finish(ProcessId home, Finished finished, Timings timings, long nowMillis) {
         Optional<Slot> found = slots.stream()
@@ -192,33 +193,34 @@
     }
 
     /**
-     * Notes that a home is lost. Its requests stay counted; once its grants have surely run out they are counted as
-     * work of others, which only a load reading can show to be gone.
+     * Marks the slots of a disconnected home as orphaned. They stay taken until the grants have certainly expired; from
+     * then on the requests count as foreign load, which only a load reading can show to have ended.
      *
-     * @param home the home
-     * @param timings times in force
-     * @param nowMillis time now
+     * @param home home of the request
+     * @param timings timings of the current document
+     * @param nowMillis current time
      */
     public void orphan(ProcessId home, Timings timings, long nowMillis) {
         orphan(slot -> slot.home().equals(home), timings, nowMillis);
     }
 
     /**
-     * Notes that a home waits again for a request that was granted, so that it never used or saw that grant.
+     * Marks the slot of a request as orphaned because its home has queued the request again, so it did not receive or
+     * use the grant.
      *
-     * @param home the home
-     * @param request the request's id there
-     * @param timings times in force
-     * @param nowMillis time now
+     * @param home home of the request
+     * @param request id of the request at its home
+     * @param timings timings of the current document
+     * @param nowMillis current time
      */
     public void orphan(ProcessId home, long request, Timings timings, long nowMillis) {
         orphan(slot -> slot.home().equals(home) && slot.request() == request, timings, nowMillis);
     }
 
     /**
-     * Gives up orphans whose grants have surely run out.
+     * Frees orphaned slots whose grants have certainly expired.
      *
-     * @param nowMillis time now
+     * @param nowMillis current time
      */
     public void expireOrphans(long nowMillis) {
         int before = slots.size();
@@ -230,10 +232,10 @@
     }
 
     /**
-     * Returns the grants that may still be unused, each only once.
+     * Marks the grants that may still be unused as recalled, and returns those not recalled before.
      *
-     * @param nowMillis time now
-     * @return slots to call back
+     * @param nowMillis current time
+     * @return slots whose grants are to be recalled
      */
     public List<Slot> recallUnused(long nowMillis) {
         List<Slot> unused = slots.stream()
@@ -244,22 +246,22 @@
     }
 
     /**
-     * Tells whether a grant may still be unused.
+     * Returns whether any grant may still be unused.
      *
-     * @param nowMillis time now
-     * @return true when one may
+     * @param nowMillis current time
+     * @return true when at least one grant has not certainly been used
      */
     public boolean hasUnusedGrants(long nowMillis) {
         return slots.stream().anyMatch(slot -> nowMillis < slot.latestArrivalMillis());
     }
 
     /**
-     * Takes in a load reading.
+     * Adds a load reading; one that is older than the latest reading is ignored.
      *
-     * @param load the target's answer
-     * @param requestedAtMillis when it was asked
-     * @param receivedAtMillis when the answer came
-     * @param timings times in force
+     * @param load response of the target
+     * @param requestedAtMillis when the load was requested
+     * @param receivedAtMillis when the response was received
+     * @param timings timings of the current document
      */
     public void addReading(TargetLoad load, long requestedAtMillis, long receivedAtMillis, Timings timings) {
         LoadReading reading = LoadReading.of(load, requestedAtMillis, receivedAtMillis);
@@ -274,9 +276,9 @@
         foreignLoad.addReading(reading, slots, timings);
     }
 
-    // A request that has just arrived shows as queued for a moment although a place is free. Were a single reading
-    // believed, the limit would fall whenever one is taken at such a moment, and engines would stand half idle; so only
-    // a queue that several readings in a row show counts, and the most that ran meanwhile.
+    // A request that has just arrived is briefly reported as queued although a slot is free. If a single such reading
+    // counted, the limit would drop with it and engines would run at half their capacity. So the limit drops only
+    // after several successive readings with a queue, and to the largest number of running requests among them.
     private void updateQueuedReadings(LoadReading reading) {
         if (reading.queued() == 0) {
             queuedReadings = 0;
@@ -294,14 +296,14 @@
         }
     }
 
-    /** Notes that the target's load could not be read; nothing is granted until it can be. */
+    /** Records that the load of the target could not be read; no request is granted until a later reading succeeds. */
     public void loadUnavailable() {
         if (latest != null) {
             suspectSinceMillis = Math.max(suspectSinceMillis, latest.earliestMillis());
         }
     }
 
-    /** Forgets what depends on the target having run all the time; for a target that comes back into service. */
+    /** Resets the limit to cold, for a target that returns to service and may have been restarted meanwhile. */
     public void returnToService() {
         limit.resetToCold();
     }
@@ -324,7 +326,7 @@
         boolean unused = finished.getKind() == FinishKind.UNUSED;
         foreignLoad.addEnded(slot, finished.getTotalMillis(), !unused, nowMillis);
         if (unused && slot.latestArrivalMillis() <= nowMillis) {
-            // It was subtracted from readings as surely sent, and it was not.
+            // Readings after the expiry of the grant counted it as arrived, although it was never sent.
             foreignLoad.addAbandoned(1);
         }
         learn(slot, finished, nowMillis);
@@ -339,12 +341,13 @@
             }
             case FAILED -> suspectSinceMillis = nowMillis;
             case LOST -> {
-                // The link broke, the work may go on; only a reading taken from now on shows it.
+                // The connection failed, but the target may still run the request; only a later reading shows whether
+                // it does.
                 foreignLoad.addAbandoned(1);
                 suspectSinceMillis = nowMillis;
             }
             default -> {
-                // Cancelled or unused: says nothing of the target.
+                // A cancelled request or an unused grant says nothing about the target.
             }
         }
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/UsableShare.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/UsableShare.java
@@ -1,14 +1,14 @@
 package org.whinwharf.owner.limit;
 
-/** Part of a target's limit that an owner may use. */
+/** Computes the part of a target's limit that an owner may use. */
 @FunctionalInterface
 public interface UsableShare {
     /**
-     * Returns the part.
+     * Returns the number of slots that the owner may use.
      *
-     * @param limit requests that the target bears
+     * @param limit concurrency limit of the target
      * @param measuredAtMillis when the target's load was measured
-     * @return requests that the owner may have in flight
+     * @return maximum number of requests that the owner may have in flight
      */
     int usableSlots(int limit, long measuredAtMillis);
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/package-info.java
@@ -1,2 +1,2 @@
-/** What each target bears, as learned, and what is in flight there. */
+/** Learned concurrency limits of the targets and accounting of the requests in flight. */
 package org.whinwharf.owner.limit;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/CachedPrefixes.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/CachedPrefixes.java
@@ -7,14 +7,15 @@
 import org.whinwharf.wire.schema.CacheEvents;
 
 /**
- * Digests of the prompt prefixes that a target's cache is believed to hold.
+ * Digests of the prompt prefixes that a target's cache is assumed to hold.
  *
- * <p>Learned from the target's events and from the requests that it served. Events come late and with gaps, so a belief
- * may be wrong either way: a missed "stored" is made good by what the target served itself, a missed "dropped" by the
- * bound on what is remembered, least recently used first.
+ * <p>The digests are learned from the target's cache events and from the requests that the target served. Events arrive
+ * late and with gaps, so the set may be wrong in either direction. A missed "stored" event is compensated by the
+ * requests that the target served; a missed "dropped" event by the bound on the number of digests, which evicts the
+ * least recently used.
  */
 public final class CachedPrefixes {
-    /** Prompt tokens that one more digest stands for. */
+    /** Number of prompt tokens by which one prefix is longer than the one before it. */
     public static final int BLOCK_TOKENS = 64;
 
     private static final int MAX_DIGESTS = 8192;
@@ -25,25 +26,25 @@
     private long startNumber;
     private long lastEventNumber;
 
-    /** Forgets all, for example after the target started anew. */
+    /** Clears all digests, for example after the target restarted. */
     public void clear() {
         digests.clear();
         lastEventNumber = 0;
     }
 
     /**
-     * Returns the number of the last event seen, for the next question.
+     * Returns the number of the last event received, from which the next request for events continues.
      *
-     * @return number; 0 when none was seen
+     * @return number; 0 when no event was received
      */
     public long lastEventNumber() {
         return lastEventNumber;
     }
 
     /**
-     * Takes in events of the target.
+     * Applies cache events of the target.
      *
-     * @param events the target's answer
+     * @param events response of the target
      */
     public void applyEvents(CacheEvents events) {
         if (events.getStartNumber() != startNumber) {
@@ -57,11 +58,11 @@
     }
 
     /**
-     * Returns how many prompt tokens the cache is believed to lack.
+     * Returns how many tokens of a prompt are assumed not to be in the cache.
      *
      * @param prefixes digests of the prompt's prefixes, shortest first
      * @param promptTokens tokens of the prompt
-     * @return tokens to prefill
+     * @return number of tokens to prefill
      */
     public int uncachedTokens(List<Long> prefixes, int promptTokens) {
         int blocks = 0;
@@ -75,12 +76,13 @@
     }
 
     /**
-     * Learns from a request that the target served.
+     * Adds the prefixes of a request that the target served.
      *
      * @param prefixes digests of its prompt's prefixes, shortest first
      */
     public void addServed(List<Long> prefixes) {
-        // Served prompts are in the cache now, whatever was believed before and whatever their events say later.
+        // The prompt of a served request is in the cache now, regardless of what was assumed before and of later
+        // events.
         prefixes.forEach(prefix -> digests.put(prefix, Boolean.TRUE));
     }
 
@@ -93,12 +95,12 @@
                 digests.remove(digest);
             }
         } catch (NumberFormatException malformed) {
-            // A digest of another form matches no prompt; the rest of the events is still of use.
+            // A digest in another format matches no prompt; the remaining events are still valid.
             return;
         }
     }
 
-    /** Keeps the prefixes that were used last. */
+    /** Map that evicts the least recently used digest. */
     private static final class LruMap extends LinkedHashMap<Long, Boolean> {
         private static final long serialVersionUID = 1L;
 
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/Candidate.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/Candidate.java
@@ -3,16 +3,16 @@
 import org.whinwharf.owner.limit.TargetAccount;
 
 /**
- * Target with a free slot.
+ * Target with at least one free slot.
  *
- * @param account what is known of it
- * @param freeSlots requests that may still be granted there
+ * @param account account of the target
+ * @param freeSlots number of requests that may still be granted to the target
  */
 public record Candidate(TargetAccount account, int freeSlots) {
     /**
      * Returns the candidate after one more grant.
      *
-     * @return candidate with less room
+     * @return candidate with one free slot less
      */
     public Candidate afterGrant() {
         return new Candidate(account, freeSlots - 1);
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/PlacementState.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/PlacementState.java
@@ -3,7 +3,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** What a {@link PlacementStrategy} remembers between two choices. */
+/** State that a {@link PlacementStrategy} keeps between choices. */
 public final class PlacementState {
     private final UniformRandomProvider random;
     private long sequence;
@@ -11,7 +11,7 @@
     /**
      * Creates the state.
      *
-     * @param seed seed of the random choices
+     * @param seed seed of the random number generator
      */
     public PlacementState(long seed) {
         random = RandomSource.SPLIT_MIX_64.create(seed);
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/PlacementStrategy.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/PlacementStrategy.java
@@ -8,23 +8,23 @@
 import org.whinwharf.owner.limit.TargetAccount;
 import org.whinwharf.owner.queue.WaitingRequest;
 
-/** Ways to choose among the targets of a slice that have a free slot. */
+/** Strategies that choose a target among those of a slice with a free slot. */
 public enum PlacementStrategy {
-    /** Takes the targets in turn. */
+    /** Chooses the targets in turn. */
     ROUND_ROBIN {
         @Override
         public Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state) {
             return candidates.get(state.nextInTurn(candidates.size()));
         }
     },
-    /** Takes the target that last reported the least load. */
+    /** Chooses the target with the least load in its latest reading. */
     LEAST_REPORTED {
         @Override
         public Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state) {
             return minBy(candidates, candidate -> reportedLoad(candidate.account()));
         }
     },
-    /** Takes the less loaded of two random targets. */
+    /** Chooses the less loaded of two random targets. */
     TWO_CHOICES {
         @Override
         public Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state) {
@@ -33,7 +33,7 @@
             return reportedLoad(other.account()) < reportedLoad(one.account()) ? other : one;
         }
     },
-    /** Takes the target with the least expected time, counting the prefill that its cache spares. */
+    /** Chooses the target with the shortest predicted time, taking into account the prefill that its cache saves. */
     SCORE {
         @Override
         public Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state) {
@@ -45,11 +45,11 @@
     private static final double CROWDING_WEIGHT = 0.25;
 
     /**
-     * Finds a way by its name in the settings.
+     * Returns the strategy with a name from the settings.
      *
-     * @param name name in lower case with hyphens, as the schema allows it
-     * @return the way
-     * @throws IllegalArgumentException when there is none of this name
+     * @param name name in lower case with hyphens, as the schema defines it
+     * @return the strategy
+     * @throws IllegalArgumentException when no strategy has this name
      */
     public static PlacementStrategy fromSetting(String name) {
         return valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
@@ -59,8 +59,8 @@
      * Chooses a target.
      *
      * @param candidates targets with a free slot, at least one
-     * @param waiting the request
-     * @param state what is remembered between choices
+     * @param waiting request to place
+     * @param state state kept between choices
      * @return one of the candidates
      */
     public abstract Candidate choose(List<Candidate> candidates, WaitingRequest waiting, PlacementState state);
@@ -86,7 +86,7 @@
         return aloneMillis * (1 + crowding);
     }
 
-    /** Speed of the targets that are known, which stands in for one that is not. */
+    /** Average speed of the targets with samples, used for targets without any. */
     private record AverageSpeed(List<TargetSpeed> speeds) {
         static AverageSpeed of(List<Candidate> candidates) {
             return new AverageSpeed(candidates.stream()
@@ -95,7 +95,7 @@
                     .toList());
         }
 
-        // Where no speed is known, the prefill that a cache spares is all that tells targets apart.
+        // While no target has a sample, targets differ only by the prefill that their caches save.
         double predictMillis(int uncachedTokens, WaitingRequest waiting) {
             return speeds.stream()
                     .mapToDouble(speed -> speed.predictMillis(uncachedTokens, waiting.answerTokens()))
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/TargetSpeed.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/TargetSpeed.java
@@ -2,7 +2,7 @@
 
 import org.whinwharf.owner.limit.CompletionSample;
 
-/** Learned speed of one target. */
+/** Speed of one target, learned from completed requests. */
 public final class TargetSpeed {
     private static final double SMOOTHING_FACTOR = 0.2;
     private static final long MAX_SAMPLE_AGE_MILLIS = 10_000;
@@ -16,10 +16,10 @@
     private long lastSampleMillis;
 
     /**
-     * Learns from a completed request.
+     * Adds the sample of a completed request.
      *
-     * @param sample what it took
-     * @param nowMillis time now
+     * @param sample measured times and token counts
+     * @param nowMillis current time
      */
     public void addSample(CompletionSample sample, long nowMillis) {
         sampleCount++;
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Tells whether anything was learned.
+     * Returns whether any sample was added.
      *
      * @return false before the first completed request
      */
@@ -48,12 +48,12 @@
     }
 
     /**
-     * Tells whether something was learned lately.
+     * Returns whether a sample was added recently.
      *
-     * <p>Requests are refused because a target is too slow for them. Were an old speed good enough for that, a target
-     * that was slow once would be sent nothing any more and could never show that it is fast again.
+     * <p>Requests are refused when a target is too slow for their deadlines. If old samples counted for that, a target
+     * that was slow once would receive no more requests and could never show that it is fast again.
      *
-     * @param nowMillis time now
+     * @param nowMillis current time
      * @return true when a request completed in the last ten seconds
      */
     public boolean hasRecentSample(long nowMillis) {
@@ -61,20 +61,20 @@
     }
 
     /**
-     * Predicts how long a request takes at this target.
+     * Predicts the duration of a request at this target.
      *
-     * @param prefillTokens prompt tokens that the cache lacks
+     * @param prefillTokens prompt tokens that are not in the target's cache
      * @param answerTokens tokens of the answer
-     * @return milliseconds; 0 when nothing was learned
+     * @return milliseconds; 0 when there is no sample
      */
     public double predictMillis(int prefillTokens, int answerTokens) {
         return baseMillis + prefillMillis(prefillTokens) + millisPerToken * answerTokens;
     }
 
     /**
-     * Predicts how long the prefill takes.
+     * Predicts the duration of the prefill.
      *
-     * @param prefillTokens prompt tokens that the cache lacks
+     * @param prefillTokens prompt tokens that are not in the target's cache
      * @return milliseconds
      */
     public double prefillMillis(int prefillTokens) {
@@ -82,9 +82,9 @@
     }
 
     /**
-     * Returns the decoding speed of one stream.
+     * Returns the decoding rate of one request.
      *
-     * @return tokens a second; 0 when nothing was learned
+     * @return tokens per second; 0 when there is no sample
      */
     public double tokensPerSecond() {
         return millisPerToken <= 0 ? 0 : 1000 / millisPerToken;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Choice of a target inside a slice. */
+/** Selection of a target within a slice. */
 package org.whinwharf.owner.placement;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/HeldPledges.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/HeldPledges.java
@@ -8,21 +8,26 @@
 import org.whinwharf.owner.Timings;
 import org.whinwharf.wire.message.SliceId;
 
-/** Pledges that one would-be owner has of the voters of one slice. */
+/**
+ * Pledges of the voters of one slice to one owner or candidate owner.
+ *
+ * <p>A pledge is a lease: a voter grants it to one process at a time, and it expires unless it is renewed.
+ */
 public final class HeldPledges {
     private final SliceId slice;
     private final MembershipViews views;
     private final ShareRule rule;
     private final Map<String, HeldPledge> byVoter = new HashMap<>();
-    // Shares are asked for many times between two pledges; to look up each voter anew was most of a scheduler's work.
+    // Shares are computed many times between two pledges. Looking up each voter every time took most of a scheduler's
+    // processing time.
     private final Map<Membership, HeldPledge[]> pledgesByView = new IdentityHashMap<>();
 
     /**
-     * Creates an empty book.
+     * Creates an instance without pledges.
      *
      * @param slice the slice
-     * @param views views of the host list to count by
-     * @param rule how pledges become parts of a limit
+     * @param views views of the host list that determine the voters
+     * @param rule rule that converts pledges into a part of a limit
      */
     public HeldPledges(SliceId slice, MembershipViews views, ShareRule rule) {
         this.slice = slice;
@@ -31,14 +36,15 @@
     }
 
     /**
-     * Records a pledge.
+     * Adds or renews the pledge of a voter.
      *
      * @param voter name of the voter
-     * @param requestSentAtMillis when the request was sent, by the owner's clock
-     * @param validityMillis how long the pledge lasts by the voter's clock
-     * @param unheldMillis how long ago a pledge to another host may last have counted, by the voter's clock
-     * @param timings times in force
-     * @param nowMillis time now
+     * @param requestSentAtMillis time at which the pledge request was sent, by the owner's monotonic clock
+     * @param validityMillis validity of the pledge from the voter's receipt of the request, by the voter's clock
+     * @param unheldMillis time since a pledge of the voter to another process can last have counted, by the voter's
+     *     clock
+     * @param timings timings of the current document
+     * @param nowMillis current time
      */
     public void add(
             String voter,
@@ -48,31 +54,33 @@
             Timings timings,
             long nowMillis) {
         if (requestSentAtMillis > nowMillis) {
-            // An echo that this process cannot have sent would make the pledge last longer than the voter's word.
+            // A time in the future cannot come from this process, and would extend the pledge beyond its validity at
+            // the voter.
             return;
         }
-        // The voter's time starts when it gets the request, which is after it was sent; so this ends before the
-        // voter's.
+        // The validity starts when the voter receives the request, which is after it was sent. So the pledge expires
+        // here before it expires at the voter.
         long expiryMillis = requestSentAtMillis + timings.lowerBoundMillis(validityMillis);
-        // Grants of an earlier owner may put requests at a target until then; a load measured earlier may lack them.
+        // Requests granted by an earlier owner may arrive at a target until then, and a load measured earlier may not
+        // include them.
         long effectiveFromMillis = nowMillis - timings.lowerBoundMillis(unheldMillis) + timings.grantExpiryMillis();
         byVoter.put(voter, new HeldPledge(expiryMillis, effectiveFromMillis));
         pledgesByView.clear();
     }
 
-    /** Forgets all pledges, for example after they were given back. */
+    /** Removes all pledges, for example after they were released. */
     public void clear() {
         byVoter.clear();
         pledgesByView.clear();
     }
 
     /**
-     * Returns the requests that this owner may have in flight at a target.
+     * Returns how many requests this owner may have in flight at a target.
      *
-     * @param limit requests that the target bears
+     * @param limit concurrency limit of the target
      * @param measuredAtMillis when the target's load was last measured
-     * @param nowMillis time now
-     * @return the smallest share over all views that count; 0 when there is none
+     * @param nowMillis current time
+     * @return the smallest share of all views in force; 0 when no view is in force
      */
     public int usableSlots(int limit, long measuredAtMillis, long nowMillis) {
         List<Membership> viewsInForce = views.inForceAt(measuredAtMillis);
@@ -84,9 +92,9 @@
     }
 
     /**
-     * Returns the share by the newest view, whatever is known of the targets; for status.
+     * Returns the share by the newest view for status reports, regardless of load measurements.
      *
-     * @param nowMillis time now
+     * @param nowMillis current time
      * @return the share
      */
     public Share share(long nowMillis) {
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/MembershipViews.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/MembershipViews.java
@@ -11,13 +11,14 @@
 import org.whinwharf.wire.schema.Host;
 
 /**
- * Views of the host list that other owners may still act by.
+ * Views of the host list under which owners may still act.
  *
  * <p>Two processes with different lists can each see a majority of pledges, one among the voters of the old list and
- * one among those of the new list; a target would then get twice what it bears. Therefore an owner keeps each view that
- * was replaced until all processes have the newer one and grants made under the old one have run out, and counts its
- * pledges by every view that it keeps. A process that has just started cannot know the views before its first list, so
- * for the same time it uses nothing. This covers lists that lag by no more than the bound in the document.
+ * one among those of the new list; a target would then receive twice its limit. Therefore an owner keeps each replaced
+ * view until all processes have the newer one and the grants made under the old one have expired, and counts its
+ * pledges by every view that it keeps. A process that has just started does not know the views before its first list,
+ * so it uses no capacity for the same time. This is sufficient as long as lists lag by no more than the bound in the
+ * document.
  */
 public final class MembershipViews {
     private final List<ReplacedView> replacedViews = new ArrayList<>();
@@ -26,11 +27,11 @@
     private long earliestMeasurementMillis;
 
     /**
-     * Takes in a new view.
+     * Adds a new view, which replaces the current one.
      *
      * @param membership the new view
-     * @param timings times in force
-     * @param nowMillis time now
+     * @param timings timings of the current document
+     * @param nowMillis current time
      */
     public void update(Membership membership, Timings timings, long nowMillis) {
         long obsoleteAtMillis =
@@ -45,11 +46,12 @@
     }
 
     /**
-     * Starts anew after this process was paused: while it slept its list may have fallen behind by more than the bound,
-     * and others may have settled on a newer one.
+     * Disregards all measurements before the lists must agree again, after this process was paused. During the pause
+     * its list may have fallen behind by more than the bound, and other processes may already act by a newer list
+     * alone.
      *
-     * @param timings times in force
-     * @param nowMillis time now
+     * @param timings timings of the current document
+     * @param nowMillis current time
      */
     public void resetAfterPause(Timings timings, long nowMillis) {
         earliestMeasurementMillis =
@@ -66,14 +68,14 @@
     }
 
     /**
-     * Forgets views by which nobody can act any more.
+     * Removes views by which no process can act any longer.
      *
-     * @param oldestMeasuredAtMillis time of the oldest load reading that is still used
+     * @param oldestMeasuredAtMillis measurement time of the oldest load reading still in use
      */
     public void prune(long oldestMeasuredAtMillis) {
         for (ReplacedView view : replacedViews) {
             if (view.obsoleteAtMillis() <= oldestMeasuredAtMillis) {
-                // A load measured before that says nothing once the view is forgotten.
+                // Once the view is removed, a load measured before this time cannot be used.
                 earliestMeasurementMillis = Math.max(earliestMeasurementMillis, view.obsoleteAtMillis());
             }
         }
@@ -81,10 +83,10 @@
     }
 
     /**
-     * Returns the views to count by when a target was last looked at at some time.
+     * Returns the views by which pledges count for a target, given the time of its load measurement.
      *
      * @param measuredAtMillis time at which the target's load was measured
-     * @return views; empty when nothing may be counted yet
+     * @return views; empty when no capacity may be used yet
      */
     public List<Membership> inForceAt(long measuredAtMillis) {
         if (current == null || measuredAtMillis < earliestMeasurementMillis) {
@@ -104,7 +106,7 @@
     }
 
     /**
-     * Tells whether a target belonged to a slice in every view that counts.
+     * Returns whether a target belongs to a slice in every view in force.
      *
      * @param target name of the target
      * @param slice the slice
@@ -122,7 +124,7 @@
     }
 
     /**
-     * Returns everybody whose pledge counts in some view.
+     * Returns the voters of a slice in any view.
      *
      * @param slice the slice
      * @return names of hosts
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/Share.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/Share.java
@@ -1,25 +1,25 @@
 package org.whinwharf.owner.pledge;
 
 /**
- * Part of the voters of a slice that pledge to one owner.
+ * Number of a slice's voters that pledge to one owner.
  *
- * <p>The parts of several owners of one slice never add up to more than a target's limit, since each voter counts for
- * one owner at a time: a minority rounds down, and the majority takes the limit less what all others together could
- * take.
+ * <p>The shares of several owners of a slice never add up to more than a target's limit, because each voter pledges to
+ * one owner at a time. The share of a minority is rounded down; the majority gets the limit less the shares that all
+ * others together could use.
  *
- * @param pledged voters that pledge to the owner
- * @param voters all voters
+ * @param pledged number of voters that pledge to the owner
+ * @param voters number of all voters
  */
 public record Share(int pledged, int voters) {
-    /** Share of an owner that nobody pledges to. */
+    /** Share of an owner without any pledge. */
     public static final Share NONE = new Share(0, 1);
 
     /**
-     * Returns the part of a limit that the owner may use.
+     * Returns the number of slots of a limit that the owner may use.
      *
-     * @param limit requests that the target bears
-     * @param rule how parts are made
-     * @return requests that the owner may have in flight there
+     * @param limit concurrency limit of the target
+     * @param rule rule that converts the share into a number of slots
+     * @return maximum number of requests that the owner may have in flight at the target
      */
     public int usableSlots(int limit, ShareRule rule) {
         return rule.usableSlots(limit, this);
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/ShareRule.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/ShareRule.java
@@ -1,15 +1,15 @@
 package org.whinwharf.owner.pledge;
 
-/** Ways to turn pledges into a part of a target's limit; docs/measurements/ownership.md compares them. */
+/** Rules that convert pledges into a part of a target's limit; docs/measurements/ownership.md compares them. */
 public enum ShareRule {
-    /** A majority uses the whole, anybody else nothing. */
+    /** A majority uses the whole limit, any other owner nothing. */
     MAJORITY {
         @Override
         int usableSlots(int limit, Share share) {
             return share.isMajority() ? limit : 0;
         }
     },
-    /** Everybody uses its part, rounded down. */
+    /** Each owner uses its part, rounded down. */
     PROPORTIONAL {
         @Override
         int usableSlots(int limit, Share share) {
@@ -17,8 +17,8 @@
         }
     },
     /**
-     * A minority uses its part, rounded down; a majority uses what all others together could not. A target that bears
-     * one request is used by the majority instead of by nobody.
+     * A minority uses its part, rounded down; a majority uses the slots that all others together could not use. Thus a
+     * target with a limit of one request is used by the majority instead of by no owner.
      */
     REST_TO_MAJORITY {
         @Override
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/Voter.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/Voter.java
@@ -11,29 +11,29 @@
 import org.whinwharf.wire.message.SliceId;
 import org.whinwharf.wire.schema.Host;
 
-/** Gives the pledges of this host: each slice to one process at a time. */
+/** Grants the pledges of this host: for each slice to one process at a time. */
 public final class Voter {
     private final long startedAtMillis;
     private final Map<SliceId, SliceVote> votes = new HashMap<>();
 
     /**
-     * Creates a voter that has pledged nothing.
+     * Creates a voter without any pledge.
      *
-     * @param startedAtMillis when this process started
+     * @param startedAtMillis start time of this process, by its monotonic clock
      */
     public Voter(long startedAtMillis) {
         this.startedAtMillis = startedAtMillis;
     }
 
     /**
-     * Answers a request.
+     * Answers a pledge request.
      *
-     * @param requester process that asks
-     * @param request the request
+     * @param requester process that requests the pledges
+     * @param request the pledge request
      * @param membership newest view of the host list
-     * @param timings times in force
-     * @param nowMillis time now
-     * @return pledges and refusals
+     * @param timings timings of the current document
+     * @param nowMillis current time
+     * @return message with the pledged and the refused slices
      */
     public Pledge answer(
             ProcessId requester, PledgeRequest request, Membership membership, Timings timings, long nowMillis) {
@@ -44,7 +44,8 @@
         for (SliceId slice : request.getSlicesList()) {
             SliceVote vote = votes.computeIfAbsent(slice, key -> new SliceVote(earliestPledgeMillis(timings)));
             int rank = rank(membership, slice, requester.host());
-            // An asker that this host's list does not have acts by another list; it must wait until both agree.
+            // A requester that is missing from this host's list acts by another list; it must wait until both lists
+            // agree.
             boolean isListed = rank != Integer.MAX_VALUE;
             if (!isListed
                     || nowMillis < earliestPledgeMillis(timings)
@@ -58,13 +59,13 @@
     }
 
     /**
-     * Takes pledges back.
+     * Releases pledges of their holder.
      *
-     * @param holder process that gives them back
-     * @param slices the slices
-     * @param clean true when no unused grant of the holder is left
-     * @param timings times in force
-     * @param nowMillis time now
+     * @param holder process that releases them
+     * @param slices slices whose pledges are released
+     * @param clean true when the holder has no unused grants
+     * @param timings timings of the current document
+     * @param nowMillis current time
      */
     public void release(ProcessId holder, List<SliceId> slices, boolean clean, Timings timings, long nowMillis) {
         for (SliceId slice : slices) {
@@ -76,10 +77,10 @@
     }
 
     /**
-     * Forgets slices that the list has no longer.
+     * Removes the state of slices that are no longer in the list.
      *
      * @param membership newest view of the host list
-     * @param nowMillis time now
+     * @param nowMillis current time
      */
     public void prune(Membership membership, long nowMillis) {
         votes.entrySet()
@@ -90,9 +91,8 @@
 
     private static final long STATE_RETENTION_MILLIS = 600_000;
 
-    // A process that was restarted has forgotten what it pledged. Were it to pledge at once, two owners could count it
-    // at
-    // the same time; so it waits until any pledge of its earlier start has run out.
+    // A restarted process has lost its record of pledges. If it pledged immediately, two owners could count its
+    // pledge at the same time. So it waits until any pledge made before the restart has expired.
     private long earliestPledgeMillis(Timings timings) {
         return startedAtMillis + timings.upperBoundMillis(timings.pledgeMillis());
     }
@@ -107,7 +107,7 @@
         return Integer.MAX_VALUE;
     }
 
-    /** What is pledged of one slice. */
+    /** Pledge of this host for one slice. */
     private static final class SliceVote {
         private ProcessId holder;
         private int holderRank;
@@ -146,9 +146,8 @@
             holder = null;
         }
 
-        // The holder would renew for ever and the host that comes first by the list would never get the slice; so
-        // renewal
-        // ends while a host that comes before it asks.
+        // The holder could renew its pledge indefinitely, and the preferred host, which is earlier in the list of
+        // candidates, would never get the slice. So renewal is refused while a preferred host requests the pledge.
         private boolean preferredCandidateWaits(ProcessId requester, int rank, long nowMillis) {
             return preferred != null
                     && !preferred.equals(requester)
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/pledge/package-info.java
@@ -1,2 +1,2 @@
-/** Ownership of slices by pledges that run out. */
+/** Ownership of slices by pledges: leases that the voters of a slice grant and that expire unless renewed. */
 package org.whinwharf.owner.pledge;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/DrainRate.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/DrainRate.java
@@ -1,6 +1,6 @@
 package org.whinwharf.owner.queue;
 
-/** Learned rate at which the targets of a slice work off predicted cost. */
+/** Drain rate of a slice: predicted cost that its targets complete per unit of time. */
 public final class DrainRate {
     private static final double WINDOW_MILLIS = 10_000;
     private static final double MIN_SPAN_MILLIS = 1_000;
@@ -10,10 +10,10 @@
     private long lastCompletionMillis;
 
     /**
-     * Counts completed work.
+     * Adds the cost of a completed request.
      *
-     * @param cost predicted cost of what completed
-     * @param nowMillis time now
+     * @param cost predicted cost of the request
+     * @param nowMillis current time
      */
     public void addCompleted(int cost, long nowMillis) {
         if (firstCompletionMillis == Long.MIN_VALUE) {
@@ -25,19 +25,20 @@
     }
 
     /**
-     * Predicts how long work takes.
+     * Predicts how long the targets take to complete a cost.
      *
      * @param cost predicted cost
-     * @param nowMillis time now
-     * @return milliseconds; 0 when nothing was learned
+     * @param nowMillis current time
+     * @return milliseconds; 0 when the rate is unknown
      */
     public double predictMillis(long cost, long nowMillis) {
         double rate = costPerMilli(nowMillis);
         return rate <= 0 ? 0 : cost / rate;
     }
 
-    // The rate is the one at the last completion, and unknown once that is long ago. One that decayed with time would
-    // predict endless waits while a few long requests run, and refuse all that could be served after them.
+    // The rate is that of the last completion, and becomes unknown once the last completion is older than the window.
+    // A rate that decayed with time would predict unbounded waits while a few long requests run, and every request
+    // that could be served after them would be refused.
     private double costPerMilli(long nowMillis) {
         if (firstCompletionMillis == Long.MIN_VALUE || nowMillis - lastCompletionMillis > WINDOW_MILLIS) {
             return 0;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/SliceQueue.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/SliceQueue.java
@@ -11,7 +11,11 @@
 import java.util.function.Predicate;
 import org.whinwharf.owner.ProcessId;
 
-/** Requests that wait in one slice: strict tiers, fair inside a tier. */
+/**
+ * Requests that wait in one slice for a grant.
+ *
+ * <p>A higher tier is always served before a lower one; within a tier the organisations share fairly.
+ */
 public final class SliceQueue {
     private final TreeMap<Integer, TierQueue> tiers = new TreeMap<>(Comparator.reverseOrder());
     private final Map<WaitingRequest.Key, WaitingRequest> byKey = new HashMap<>();
@@ -19,7 +23,7 @@
     /**
      * Returns the number of waiting requests.
      *
-     * @return size
+     * @return number of requests
      */
     public int size() {
         return byKey.size();
@@ -29,7 +33,7 @@
      * Adds a request.
      *
      * @param waiting the request
-     * @return false when it waits already
+     * @return false when the request is already in the queue
      */
     public boolean add(WaitingRequest waiting) {
         if (byKey.putIfAbsent(waiting.key(), waiting) != null) {
@@ -40,10 +44,10 @@
     }
 
     /**
-     * Removes a request that is not granted.
+     * Removes a request without a grant.
      *
-     * @param key the request
-     * @return the request; empty when it does not wait
+     * @param key key of the request
+     * @return the request; empty when it is not in the queue
      */
     public Optional<WaitingRequest> remove(WaitingRequest.Key key) {
         WaitingRequest waiting = byKey.remove(key);
@@ -54,7 +58,7 @@
     }
 
     /**
-     * Removes a request that is granted, and charges its organisation.
+     * Removes a granted request and charges its cost to its organisation.
      *
      * @param waiting the request
      */
@@ -66,11 +70,11 @@
     }
 
     /**
-     * Finds the request that is to be served next: the highest tier's, and of it the first one of the organisation that
-     * is furthest behind.
+     * Returns the request to serve next: in the highest tier with a match, the first request of the organisation that
+     * has received least for its weight.
      *
-     * @param passes what the request must satisfy
-     * @return a request; empty when none that is first in its organisation passes
+     * @param passes condition that the request must satisfy
+     * @return the request; empty when no organisation's first request satisfies the condition
      */
     public Optional<WaitingRequest> next(Predicate<WaitingRequest> passes) {
         for (TierQueue tier : tiers.values()) {
@@ -83,9 +87,9 @@
     }
 
     /**
-     * Returns the rank of the lowest tier that has something waiting.
+     * Returns the rank of the lowest tier with a waiting request.
      *
-     * @return rank; empty when none waits
+     * @return rank; empty when the queue is empty
      */
     public Optional<Integer> lowestRank() {
         return tiers.descendingMap().entrySet().stream()
@@ -95,16 +99,16 @@
     }
 
     /**
-     * Returns the request that is to be shed first.
+     * Returns the request to shed first.
      *
-     * @return a request of the lowest tier; empty when none waits
+     * @return a request of the lowest tier with a waiting request; empty when the queue is empty
      */
     public Optional<WaitingRequest> victim() {
         return lowestRank().map(rank -> tiers.get(rank).victim());
     }
 
     /**
-     * Returns what waits below a rank.
+     * Returns the requests below a rank.
      *
      * @param rank the rank
      * @return requests of lower tiers
@@ -114,7 +118,7 @@
     }
 
     /**
-     * Returns all that waits, highest tier first.
+     * Returns all requests, highest tier first.
      *
      * @return requests
      */
@@ -123,7 +127,7 @@
     }
 
     /**
-     * Returns what a home has waiting.
+     * Returns the requests of a home.
      *
      * @param home the home
      * @return requests
@@ -135,10 +139,10 @@
     }
 
     /**
-     * Returns the predicted cost of what is served before a fresh request of a tier.
+     * Returns the predicted cost served before a new request of a tier.
      *
      * @param rank rank of the tier
-     * @return sum of costs of this tier and all above it
+     * @return sum of the costs of this tier and all higher tiers
      */
     public long costAhead(int rank) {
         return tiers.headMap(rank, true).values().stream()
@@ -147,10 +151,10 @@
     }
 
     /**
-     * Returns the predicted cost of what is served before a request that has just come.
+     * Returns the predicted cost served before a request that has just arrived.
      *
      * @param waiting the request, not yet in the queue
-     * @return sum of the costs of all tiers above it, and of what its own tier serves first
+     * @return sum of the costs of all higher tiers and of the requests that its own tier serves first
      */
     public long costBefore(WaitingRequest waiting) {
         long above = tiers.headMap(waiting.rank(), false).values().stream()
@@ -161,19 +165,19 @@
     }
 
     /**
-     * Tells whether anything waits below a rank.
+     * Returns whether any request waits below a rank.
      *
      * @param rank the rank
-     * @return true when a lower tier has something waiting
+     * @return true when a lower tier has a waiting request
      */
     public boolean hasBelowRank(int rank) {
         return tiers.tailMap(rank, false).values().stream().anyMatch(tier -> tier.size() > 0);
     }
 
     /**
-     * Returns how many requests wait in each tier.
+     * Returns the number of waiting requests by tier.
      *
-     * @return count by rank, highest first
+     * @return counts by rank, highest rank first
      */
     public SortedMap<Integer, Integer> sizes() {
         SortedMap<Integer, Integer> sizes = new TreeMap<>(Comparator.reverseOrder());
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/TierQueue.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/TierQueue.java
@@ -10,18 +10,19 @@
 import java.util.function.Predicate;
 
 /**
- * Requests of one tier: fair between organisations by predicted cost, and inside an organisation the short ones first,
+ * Requests of one tier: organisations share by predicted cost, and within an organisation shorter requests come first,
  * with ageing.
  *
- * <p>Each organisation has a virtual time that advances by the cost of what it was granted over its weight; the one
- * that is furthest behind comes next. An organisation that was idle starts at the tier's time, so that it cannot save
- * up.
+ * <p>Each organisation has a virtual time that advances by the cost of its granted requests divided by its weight. The
+ * organisation with the lowest virtual time comes next. An organisation that was idle starts at the virtual time of the
+ * tier, so that it cannot accumulate credit while idle.
  */
 final class TierQueue {
     private static final double AGEING_MILLIS_PER_COST = 5;
 
     private final Map<String, OrganisationQueue> byOrganisation = new HashMap<>();
-    // Walked for every grant: organisations with nothing waiting are kept apart, for there may be thousands of them.
+    // The active set is iterated for every grant. Organisations without waiting requests are kept apart, because
+    // there may be thousands of them.
     private final TreeSet<OrganisationQueue> active = new TreeSet<>(OrganisationQueue.ORDER);
     private final TreeSet<OrganisationQueue> idle = new TreeSet<>(OrganisationQueue.ORDER);
     private double virtualTime;
@@ -66,8 +67,8 @@
     }
 
     /**
-     * Returns the predicted cost of what this tier serves before a request that has just come: of its own organisation
-     * what goes before it, of every other one no more than a fair share of that.
+     * Returns the predicted cost that this tier serves before a request that has just arrived: the cost ahead of it in
+     * its own organisation, and for each other organisation no more than its fair share of that cost.
      */
     long costBefore(WaitingRequest waiting) {
         OrganisationQueue ownQueue = byOrganisation.get(waiting.organisation());
@@ -85,7 +86,8 @@
     }
 
     /**
-     * Returns the next request to be served among the first ones of each organisation that pass; empty when none does.
+     * Returns the next request to serve among the first requests of the organisations that satisfy the condition; empty
+     * when none does.
      */
     Optional<WaitingRequest> firstMatchingHead(Predicate<WaitingRequest> passes) {
         for (OrganisationQueue queue : active) {
@@ -97,7 +99,7 @@
         return Optional.empty();
     }
 
-    /** Accounts for a request that was granted and removed. */
+    /** Charges the cost of a granted request, which was removed before, to its organisation. */
     void chargeGranted(WaitingRequest waiting) {
         OrganisationQueue queue = byOrganisation.get(waiting.organisation());
         if (queue != null) {
@@ -107,7 +109,9 @@
         removeIdle();
     }
 
-    /** Returns the request that hurts least to shed: the last one of the organisation that has most waiting. */
+    /**
+     * Returns the request to shed first: the last one of the organisation with the highest waiting cost for its weight.
+     */
     WaitingRequest victim() {
         OrganisationQueue longest = null;
         for (OrganisationQueue queue : active) {
@@ -124,7 +128,7 @@
         return all;
     }
 
-    // A line's place in its set hangs on its virtual time, so it is taken out while that changes.
+    // The sets are ordered by virtual time, so a queue is removed from its set while its virtual time changes.
     private void charge(OrganisationQueue queue, double virtualCost) {
         TreeSet<OrganisationQueue> containingSet = queue.waiting.isEmpty() ? idle : active;
         containingSet.remove(queue);
@@ -132,22 +136,21 @@
         containingSet.add(queue);
     }
 
-    // Idle organisations that are not ahead of the tier carry nothing worth keeping; without this the map would grow
-    // with every organisation ever seen.
+    // Idle organisations that are not ahead of the tier's virtual time hold no state worth keeping. Without their
+    // removal the map would grow with every organisation ever seen.
     private void removeIdle() {
         while (!idle.isEmpty() && idle.first().virtualTime <= virtualTime) {
             byOrganisation.remove(idle.pollFirst().organisation);
         }
     }
 
-    /** What one organisation has waiting. */
+    /** Waiting requests of one organisation. */
     private static final class OrganisationQueue {
         private static final Comparator<OrganisationQueue> ORDER = Comparator.<OrganisationQueue>comparingDouble(
                         queue -> queue.virtualTime)
                 .thenComparing(queue -> queue.organisation);
-        // A short request overtakes a long one that came a little earlier; since every request's place is fixed by its
-        // own
-        // arrival, the long one is overtaken for a bounded time only.
+        // A short request overtakes a long one that arrived a little earlier. The position of each request is fixed
+        // by its own arrival time, so a long request is overtaken only for a bounded time.
         private static final Comparator<WaitingRequest> SHORTEST_FIRST_WITH_AGEING =
                 Comparator.<WaitingRequest>comparingDouble(
                                 waiting -> waiting.arrivedAtMillis() + waiting.cost() * AGEING_MILLIS_PER_COST)
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/WaitingRequest.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/WaitingRequest.java
@@ -4,19 +4,19 @@
 import org.whinwharf.owner.ProcessId;
 
 /**
- * Request that waits for a grant.
+ * Request that waits for a grant in the queue of a slice.
  *
  * @param home process that holds the request
- * @param request the request's id at its home
- * @param rank rank of its tier; the highest is served first
+ * @param request id of the request at its home
+ * @param rank rank of its tier; the highest rank is served first
  * @param organisation organisation that sent it
- * @param weight share of the organisation inside the tier
- * @param model model that it asks for; empty when it names none
+ * @param weight weight of the organisation within the tier
+ * @param model requested model; empty when the request does not name one
  * @param promptTokens tokens of its prompt
- * @param answerTokens tokens expected of its answer
+ * @param answerTokens expected tokens of its answer
  * @param prefixes digests of the prompt's prefixes, shortest first
- * @param deadlineMillis instant by which its answer must be whole, by the owner's clock
- * @param arrivedAtMillis when it came to the owner
+ * @param deadlineMillis time by which its answer must be complete, by the owner's monotonic clock
+ * @param arrivedAtMillis time of its arrival at the owner, by the owner's monotonic clock
  */
 public record WaitingRequest(
         ProcessId home,
@@ -34,16 +34,16 @@
     private static final int PROMPT_TOKENS_PER_COST = 8;
 
     /**
-     * Returns the predicted cost.
+     * Returns the predicted cost of the request.
      *
-     * @return cost in answer tokens; prefill counts an eighth
+     * @return cost in answer tokens; a prompt token counts as one eighth of an answer token
      */
     public int cost() {
         return BASE_COST + answerTokens + promptTokens / PROMPT_TOKENS_PER_COST;
     }
 
     /**
-     * Returns what identifies the request.
+     * Returns the key that identifies the request.
      *
      * @return key
      */
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Identity of a request.
+     * Key that identifies a request.
      *
-     * @param home its home
-     * @param request its id there
+     * @param home home of the request
+     * @param request id of the request at its home
      */
     public record Key(ProcessId home, long request) {}
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/queue/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/queue/package-info.java
@@ -1,2 +1,2 @@
-/** Order of the requests that wait in one slice. */
+/** Queue of the requests that wait in one slice, and the order in which they are served. */
 package org.whinwharf.owner.queue;
