--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SliceTargets.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SliceTargets.java
@@ -72,9 +72,9 @@
     List<Candidate> candidates(long nowMillis) {
         List<Candidate> candidates = new ArrayList<>();
         for (TargetAccount account : accounts.values()) {
-            int room = freeSlots(account, nowMillis);
-            if (room > 0) {
-                candidates.add(new Candidate(account, room));
+            int freeSlots = freeSlots(account, nowMillis);
+            if (freeSlots > 0) {
+                candidates.add(new Candidate(account, freeSlots));
             }
         }
         return candidates;
