--- a/org.whinwharf/src/main/java/org/whinwharf/owner/floor/AdmissionFloors.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/floor/AdmissionFloors.java
@@ -80,7 +80,7 @@
      */
     public FloorRaise announce(String service, Set<String> owners, long nowMillis) {
         LocalFloor floor = localFloors.get(service);
-        floor.asked.addAll(owners);
+        floor.announcedTo.addAll(owners);
         floor.announcedAtMillis = nowMillis;
         return FloorRaise.newBuilder()
                 .setService(service)
@@ -155,7 +155,7 @@
             return false;
         }
         boolean allCleared =
-                floor.asked.stream().allMatch(host -> floor.cleared.contains(host) || !reachable.contains(host));
+                floor.announcedTo.stream().allMatch(host -> floor.cleared.contains(host) || !reachable.contains(host));
         return allCleared || nowMillis - floor.raisedAtMillis >= timings.floorWaitMillis();
     }
 
@@ -210,7 +210,7 @@
         private final long number;
         private final int rank;
         private final long raisedAtMillis;
-        private final Set<String> asked = new HashSet<>();
+        private final Set<String> announcedTo = new HashSet<>();
         private final Set<String> cleared = new HashSet<>();
         private long neededAtMillis;
         private long announcedAtMillis;
