--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/HomePropertyTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/HomePropertyTest.java
@@ -27,8 +27,7 @@
     };
 
     // Grants, refusals, pauses, broken connections, cancellations and repeats arrive in any order. A request that is
-    // sent
-    // twice books a pickup twice; a caller that is told "not run" of a request that was sent submits it again.
+    // sent twice books a pickup twice; a caller that is told "not run" of a request that was sent submits it again.
     @Property(seed = "20261203", tries = 3_000)
     void dispatchesOnceReportsNotRunCorrectlyAndAnswersEachCallerOnce(
             @ForAll @Size(max = 60) List<@IntRange(min = 0, max = KINDS * 100 - 1) Integer> script) {
--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeTest.java
@@ -48,8 +48,7 @@
     }
 
     // The process is paused and reads a grant after it expired. The owner has given the slot to another request by
-    // then,
-    // so a target with capacity for one request would receive two.
+    // then, so a target with capacity for one request would receive two.
     @Test
     void grantReadTooLateIsReturnedAndTheRequestQueuesAnew() {
         driver.submit(1, request);
@@ -76,8 +75,8 @@
         assertThat(driver.sentRequests, is(Set.of(1L)));
     }
 
-    // The deadline passes between the decision to dispatch and the sending. The first to use the gate decides: here the
-    // sender has passed it, so the caller must not be told "not run".
+    // The deadline passes between the decision to dispatch and the sending. The first to use the gate decides: here
+    // the sender has passed it, so the caller must not be told "not run".
     @Test
     void deadlineAfterTheGateIsAnsweredAsRan() {
         driver.submit(1, request);
@@ -158,8 +157,8 @@
     }
 
     // Many targets fail at once. Requests that are queued again immediately and repeatedly would cause a storm of
-    // messages. Beyond the retry budget each request is delayed first; none is rejected, because other owners may still
-    // serve lower tiers.
+    // messages. Beyond the retry budget each request is delayed first; none is rejected, because other owners may
+    // still serve lower tiers.
     @Test
     void refusedConnectionsBeyondTheBudgetWaitBeforeTheyQueueAnew() {
         driver.sent(request);
@@ -198,8 +197,8 @@
         assertThat(last(driver.finished()).getKind(), is(FinishKind.UNUSED));
     }
 
-    // Operators take the home's own data centre out of service. Queued requests move to targets elsewhere; new requests
-    // are rejected at once, so that their callers use another host.
+    // Operators take the home's own data centre out of service. Queued requests move to targets elsewhere; new
+    // requests are rejected at once, so that their callers use another host.
     @Test
     void dataCentreOutOfServiceMovesQueuedRequestsAndRejectsNewOnes() {
         driver.submit(1, request);
@@ -236,10 +235,8 @@
     }
 
     // A scheduler stops as planned while requests run. The next owner has received them as in flight, but the view
-    // still
-    // names the old owner first when they end. Without the message about their end the next owner would count their
-    // slots
-    // as occupied for ever, and requests would wait until their deadlines while targets are idle.
+    // still names the old owner first when they end. Without the message about their end the next owner would count
+    // their slots as occupied for ever, and requests would wait until their deadlines while targets are idle.
     @Test
     void ownerThatCountsARequestInFlightReceivesItsEndWhateverTheViewNames() {
         driver.sent(request);
@@ -265,8 +262,7 @@
     }
 
     // All engines of a data centre fail. Their owner queues requests but grants none for longer than callers wait,
-    // while
-    // engines elsewhere have free slots.
+    // while engines elsewhere have free slots.
     @Test
     void requestThatWaitsLongMovesToASliceWithRoomAndFreshOnesFollow() {
         driver.submit(1, request);
@@ -338,8 +334,7 @@
     }
 
     // A caller loses its connection and submits the booking again while the first attempt runs. The repeat must join
-    // the
-    // first attempt; after that has ended, a repeat receives the stored answer.
+    // the first attempt; after that has ended, a repeat receives the stored answer.
     @Test
     void repeatJoinsTheFirstAttemptOrGetsItsRecordedOutcome() {
         driver.sent(HomeDriver.booking(0).call());
@@ -390,8 +385,7 @@
     }
 
     // A caller with a ticket loses its connection and rejoins within the grace time. The request continues and the
-    // answer
-    // is complete. When the caller does not rejoin, the request is cancelled.
+    // answer is complete. When the caller does not rejoin, the request is cancelled.
     @Test
     void callerWithTicketMayRejoinWithinTheGrace() {
         Submission numbered = HomeDriver.engineRequest()
@@ -455,8 +449,8 @@
         assertThat(driver.errorOf(20), is(not("host-full")));
     }
 
-    // A host is full of waiting requests of low tiers when a request of a higher tier arrives. A waiting request of the
-    // lowest tier is shed for it; requests that were sent continue.
+    // A host is full of waiting requests of low tiers when a request of a higher tier arrives. A waiting request of
+    // the lowest tier is shed for it; requests that were sent continue.
     @Test
     void fullHostShedsTheLowestWaitingTier() {
         driver.sent(HomeDriver.engineRequest().tierRank(1).call());
--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/SendGateTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/SendGateTest.java
@@ -26,8 +26,8 @@
         return gate.close();
     }
 
-    // A caller cancels its request at the moment it is sent. Both threads must agree on which came first; otherwise the
-    // caller is told "not run" of a request that ran.
+    // A caller cancels its request at the moment it is sent. Both threads must agree on which came first; otherwise
+    // the caller is told "not run" of a request that ran.
     @Test
     void sendingAndClosingAgreeOnWhichCameFirst() {
         new ModelCheckingOptions().iterations(20).invocationsPerIteration(500).check(SendGateTest.class);
--- a/org.whinwharf.test/src/test/java/org/whinwharf/routing/RoutingPolicyTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/routing/RoutingPolicyTest.java
@@ -38,8 +38,7 @@
     }
 
     // An owner reports a free slice once and then stops reporting. If every home kept using that stale report, all
-    // would
-    // queue their requests at that slice, although its owner may no longer respond.
+    // would queue their requests at that slice, although its owner may no longer respond.
     @Test
     void staleStatusOfAFreeSliceCountsAsUnknown() {
         updateStatus(NEAR, 0, 0);
--- a/org.whinwharf.test/src/test/java/org/whinwharf/ticket/NumberWindowTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/ticket/NumberWindowTest.java
@@ -35,10 +35,8 @@
     }
 
     // A caller was told "not run" because the number of its request needed too many ranges. A copy of the request
-    // arrives
-    // later through another host, after the gaps were filled. If it were accepted then, it would run although its
-    // caller
-    // was told that it did not.
+    // arrives later through another host, after the gaps were filled. If it were accepted then, it would run although
+    // its caller was told that it did not.
     @Test
     void closesForFreshNumbersOnceOneNeedsARangeTooMany() {
         NumberWindow<String> window = new NumberWindow<>(2, MAX_RECORDS);
--- a/org.whinwharf.test/src/test/java/org/whinwharf/ticket/SealingTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/ticket/SealingTest.java
@@ -24,8 +24,8 @@
         assertThat(Receipt.open(RECEIPT.seal(keys), keys), is(Result.of(RECEIPT)));
     }
 
-    // Operators replace the sealing key by promoting a document with a new first key. Callers still hold tickets sealed
-    // with the old key; if those were refused, every caller would receive "bad ticket" after the promotion.
+    // Operators replace the sealing key by promoting a document with a new first key. Callers still hold tickets
+    // sealed with the old key; if those were refused, every caller would receive "bad ticket" after the promotion.
     @Test
     void opensWithAnyKeyOfTheDocument() {
         String text = TICKET.seal(new SealingKeys(List.of(key(1))));
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Home.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Home.java
@@ -10,8 +10,7 @@
  * State machine of the requests of one home.
  *
  * <p>The home of a request is the entry process that accepted it, the only process that may dispatch it. A sealed
- * {@link org.whinwharf.ticket.Ticket} names the home, so that other entry processes relay requests under that ticket to
- * it.
+ * {@link org.whinwharf.ticket.Ticket} names the home, and other entry processes relay requests under that ticket to it.
  *
  * <p>A request is sent at most once. A caller is told "not run" only before a {@link SendGate} was created for the
  * request or after it was closed, because the request cannot be sent any more then, or when the target rejected the
--- a/org.whinwharf/src/main/java/org/whinwharf/home/HomeAction.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/HomeAction.java
@@ -133,8 +133,7 @@
     }
 
     /**
-     * Sends a request to a target, if its send gate permits. A home emits no further dispatch for a request that was
-     * sent.
+     * Sends a request to a target, if its send gate permits. Never follows after any byte of the request was sent.
      *
      * @param sequence number of the request, unique in this incarnation
      * @param location target of the request
