--- a/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/PeerNetworkTest.java
+++ b/org.whinwharf.wire.test/src/test/java/org/whinwharf/wire/peer/PeerNetworkTest.java
@@ -117,8 +117,8 @@
     @Test
     @Timeout(30)
     void sendIsRefusedWhenThePeerStopsReading() throws IOException {
-        // Refused heartbeats count as refused sends too. The test waits for the first, which is sent at once; the
-        // interval is too long for a second.
+        // Refused heartbeats count as refused sends too. The test waits for the first, which is sent at once; the long
+        // interval prevents another one.
         PeerLimits oneHeartbeat = LIMITS.toBuilder().setHeartbeatMillis(60_000).build();
         PeerNetwork b = start("host-b", ADDRESS_B, 0, atB, oneHeartbeat);
         try (Socket nonReadingSocket = connect(ADDRESS_A, b.port())) {
@@ -193,8 +193,8 @@
         assertThat(atB.awaitLinkDown(), containsString("no longer"));
     }
 
-    // A coordinator releases a link right after it has reported finished requests on it. If the reports were dropped,
-    // the slots of these requests would stay occupied until they expire, and the target would stay idle.
+    // The home of requests (an entry host) releases a link right after it has reported finished requests on it. If the
+    // reports were dropped, their slots would stay occupied until they expire, and the target would stay idle.
     @Test
     void queuedFramesAreSentBeforeDisconnect() {
         PeerNetwork a = start("host-a", ADDRESS_A, 0, atA, LIMITS);
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/netty/NettyBuffers.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/netty/NettyBuffers.java
@@ -12,8 +12,8 @@
      * once Netty has allocated a buffer, so a program calls it first.
      *
      * <p>With Netty's default, the adaptive allocator, processes with several network threads overwrote or freed
-     * buffers that were still being sent. Responses are then incomplete, stall, or are cut off when their connection
-     * closes, and the log shows {@code IllegalReferenceCountException}.
+     * buffers that were still being sent. Responses are then incomplete, stall, or are cut off together with their
+     * connection, and the log shows {@code IllegalReferenceCountException}.
      */
     public static void usePooledAllocator() {
         if (System.getProperty(ALLOCATOR) == null) {
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkHandler.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkHandler.java
@@ -128,9 +128,8 @@
 
     private void establishLink(ChannelHandlerContext context, Hello hello) {
         if (expectedPeer == null) {
-            // Sent only after acceptance: on this hello the connecting process knows that it was accepted, and resets
-            // its
-            // backoff.
+            // Sent only after acceptance: this hello tells the connecting process that it was accepted, so that it
+            // resets its backoff.
             sendHello(context);
         }
         decoder.setMaxFrameBytes(linkContext.limits().maxFrameBytes());
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkInitializer.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkInitializer.java
@@ -69,8 +69,7 @@
         pipeline.addLast(new FlushConsolidationHandler(MAX_CONSOLIDATED_FLUSHES, true));
         pipeline.addLast(decoder);
         // Placed after the decoder, so that only complete frames reset the idle timeout: a sender of single bytes
-        // cannot
-        // keep a link open.
+        // cannot keep a link open.
         pipeline.addLast(new IdleStateHandler(linkContext.limits().idleTimeoutMillis(), 0, 0, TimeUnit.MILLISECONDS));
         pipeline.addLast(new LinkHandler(linkContext, decoder, expectedPeer, onLinkUp));
     }
