--- a/org.whinwharf.bench/src/main/java/org/whinwharf/bench/capacity/SchedulerLoad.java
+++ b/org.whinwharf.bench/src/main/java/org/whinwharf/bench/capacity/SchedulerLoad.java
@@ -56,7 +56,7 @@
         core = new SchedulerCore(new ProcessId(host, 1), PlacementStrategy.SCORE, 0);
         owned = membership.slices().stream()
                 .filter(slice ->
-                        membership.wouldBeOwner(slice).orElseThrow().getName().equals(host))
+                        membership.preferredOwner(slice).orElseThrow().getName().equals(host))
                 .toList();
         step(new SchedulerEvent.ConfigurationChanged(membership, SchedulerConfiguration.of(size.document())));
     }
@@ -65,7 +65,7 @@
     static String hottest(Size size, Membership membership) {
         Map<String, Integer> counts = new HashMap<>();
         for (SliceId slice : membership.slices()) {
-            counts.merge(membership.wouldBeOwner(slice).orElseThrow().getName(), 1, Integer::sum);
+            counts.merge(membership.preferredOwner(slice).orElseThrow().getName(), 1, Integer::sum);
         }
         return Collections.max(counts.entrySet(), Map.Entry.comparingByValue()).getKey();
     }
--- a/org.whinwharf.bench/src/main/java/org/whinwharf/bench/ownership/SliceRun.java
+++ b/org.whinwharf.bench/src/main/java/org/whinwharf/bench/ownership/SliceRun.java
@@ -65,7 +65,7 @@
             hosts.remove(dead);
             publish();
         }
-        String first = membership.wouldBeOwner(SLICE).orElseThrow().getName();
+        String first = membership.preferredOwner(SLICE).orElseThrow().getName();
         if (!first.equals(dead)) {
             owners.get(first).step();
         }
--- a/org.whinwharf.entry.test/src/test/java/org/whinwharf/entry/CallersPageTest.java
+++ b/org.whinwharf.entry.test/src/test/java/org/whinwharf/entry/CallersPageTest.java
@@ -29,6 +29,6 @@
 
     private static String row(ErrorKind kind) {
         return "| `" + kind.wireName() + "` | " + kind.httpStatus() + " | `"
-                + kind.ran().wireName() + "` | " + (kind.comeBack() ? "yes" : "no") + " ";
+                + kind.ran().wireName() + "` | " + (kind.hasRetryAfter() ? "yes" : "no") + " ";
     }
 }
--- a/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/Errors.java
+++ b/org.whinwharf.entry/src/main/java/org/whinwharf/entry/internal/Errors.java
@@ -19,7 +19,7 @@
     private Errors() {}
 
     static AnswerError of(Failure<?> failure) {
-        return of(failure.kind(), failure.detail(), failure.comeBackMillis(), "", List.of());
+        return of(failure.kind(), failure.detail(), failure.retryAfterMillis(), "", List.of());
     }
 
     static AnswerError of(Outcome outcome, String requestId, List<EntryAddress> addresses) {
@@ -33,7 +33,7 @@
                 .setError(kind.wireName())
                 .setDetail(detail)
                 .setRan(kind.ran().wireName())
-                .setComeBackMillis(kind.comeBack() ? comeBackMillis : 0)
+                .setComeBackMillis(kind.hasRetryAfter() ? comeBackMillis : 0)
                 .setRequestId(requestId)
                 .addAllAddresses(addresses)
                 .build();
--- a/org.whinwharf.test/src/test/java/org/whinwharf/membership/MembershipTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/membership/MembershipTest.java
@@ -29,7 +29,7 @@
             SliceId.newBuilder().setService("llm").setDataCentre("north-a").build();
 
     @Test
-    void everyProcessOrdersCandidatesAlikeWhateverTheOrderOfTheList() {
+    void candidateOrderIsIndependentOfListOrder() {
         List<Host> hosts = entryHosts(7);
         Membership one = membership(1, hosts);
         Collections.reverse(hosts);
@@ -40,14 +40,14 @@
     }
 
     @Test
-    void slicesOfManyTargetsAreDisjointAndAboutEven() {
+    void slicesOfManyTargetsAreDisjointAndBalanced() {
         Membership membership = membership(1, targets(200));
         List<SliceId> slices = membership.slices("llm");
         assertThat(slices, hasSize(32));
         int sum = 0;
         for (SliceId slice : slices) {
             int size = membership.targets(slice).size();
-            assertThat(size, lessThanOrEqualTo(2 * Membership.SLICE_TARGETS));
+            assertThat(size, lessThanOrEqualTo(2 * Membership.MAX_MEAN_TARGETS_PER_SLICE));
             sum += size;
         }
         assertThat(sum, is(200));
@@ -56,7 +56,7 @@
     // A target is replaced, as happens many times a day. If the others changed slices with it, all of them would get
     // no work until every host knows the new list, and callers would see a service that stops at each replacement.
     @Test
-    void replacedTargetMovesNoOtherToAnotherSlice() {
+    void replacingOneTargetKeepsSlicesOfOtherTargets() {
         List<Host> hosts = targets(20);
         Membership before = membership(1, hosts);
         hosts.set(3, target("a-replacement", "north-a", HostState.LIVE));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void leavingHostIsKnownAndAllowedButNoCandidate() {
+    void leavingHostIsListedAndAllowedButNotCandidate() {
         List<Host> hosts = entryHosts(3);
         hosts.set(0, hosts.get(0).toBuilder().setState(HostState.LEAVING).build());
         Membership membership = membership(1, hosts);
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void votersAreTheLocalHostsAndAtLeastThree() {
+    void votersAreHostsOfDataCentreAndAtLeastThree() {
         assertThat(membership(1, entryHosts(2)).voters(SLICE), hasSize(2));
         assertThat(membership(1, entryHosts(7)).voters(SLICE), hasSize(3));
         Membership wide = membership(1, entryHosts(410));
@@ -106,13 +106,13 @@
     }
 
     @Test
-    void removedHostMovesOnlyTheSlicesThatItOwned() {
+    void removingHostPromotesNextCandidate() {
         List<Host> hosts = entryHosts(7);
         Membership before = membership(1, hosts);
-        Host gone = before.wouldBeOwner(SLICE).orElseThrow();
+        Host gone = before.preferredOwner(SLICE).orElseThrow();
         hosts.remove(gone);
         Membership after = membership(2, hosts);
-        assertThat(after.wouldBeOwner(SLICE).orElseThrow(), is(not(gone)));
+        assertThat(after.preferredOwner(SLICE).orElseThrow(), is(not(gone)));
         assertThat(after.candidates(SLICE), equalTo(before.candidates(SLICE).subList(1, 7)));
     }
 
@@ -129,15 +129,15 @@
     }
 
     @Test
-    void removedHostMovesFewSlicesOfOthers() {
+    void removingHostReassignsFewSlices() {
         List<Host> hosts = targets(200);
         hosts.addAll(entryHosts(60));
         Membership before = membership(1, hosts);
-        Host gone = before.wouldBeOwner(before.slices("llm").get(0)).orElseThrow();
+        Host gone = before.preferredOwner(before.slices("llm").get(0)).orElseThrow();
         hosts.remove(gone);
         Membership after = membership(2, hosts);
         long moved = before.slices("llm").stream()
-                .filter(slice -> !before.wouldBeOwner(slice).equals(after.wouldBeOwner(slice)))
+                .filter(slice -> !before.preferredOwner(slice).equals(after.preferredOwner(slice)))
                 .count();
         assertThat(moved, lessThanOrEqualTo(6L));
     }
@@ -145,7 +145,7 @@
     private static Map<String, Integer> ownedSlices(Membership membership) {
         Map<String, Integer> owned = new HashMap<>();
         for (SliceId slice : membership.slices()) {
-            owned.merge(membership.wouldBeOwner(slice).orElseThrow().getName(), 1, Integer::sum);
+            owned.merge(membership.preferredOwner(slice).orElseThrow().getName(), 1, Integer::sum);
         }
         return owned;
     }
--- a/org.whinwharf/src/main/java/org/whinwharf/errors/ErrorKind.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/errors/ErrorKind.java
@@ -84,12 +84,12 @@
 
     private final int httpStatus;
     private final Ran ran;
-    private final boolean comeBack;
+    private final boolean hasRetryAfter;
 
     ErrorKind(int httpStatus, Ran ran, boolean comeBack) {
         this.httpStatus = httpStatus;
         this.ran = ran;
-        this.comeBack = comeBack;
+        this.hasRetryAfter = comeBack;
     }
 
     /**
@@ -115,8 +115,8 @@
      *
      * @return true when a later attempt may succeed
      */
-    public boolean comeBack() {
-        return comeBack;
+    public boolean hasRetryAfter() {
+        return hasRetryAfter;
     }
 
     /**
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Outcome.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Outcome.java
@@ -35,7 +35,7 @@
      * @return outcome with the error
      */
     public static Outcome failed(ErrorKind kind, String detail, long retryAfterMillis, String target) {
-        return new Outcome(Optional.of(kind), detail, kind.comeBack() ? retryAfterMillis : 0, target, 0);
+        return new Outcome(Optional.of(kind), detail, kind.hasRetryAfter() ? retryAfterMillis : 0, target, 0);
     }
 
     /**
--- a/org.whinwharf/src/main/java/org/whinwharf/membership/Membership.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/membership/Membership.java
@@ -30,13 +30,13 @@
  */
 public final class Membership {
     /** Most targets of a slice, on average. */
-    public static final int SLICE_TARGETS = 8;
+    public static final int MAX_MEAN_TARGETS_PER_SLICE = 8;
 
     private static final HashFunction HASH = Hashing.murmur3_128();
 
-    private static final int MOST_VOTERS = 9;
+    private static final int MAX_VOTERS = 9;
 
-    private static final int FEWEST_VOTERS = 3;
+    private static final int MIN_VOTERS = 3;
 
     private final long revision;
     private final long generation;
@@ -65,10 +65,10 @@
         entryHosts = liveEntryHosts(hosts);
         allowedAddresses = addresses(hosts);
         ordering = new Candidates(entryHosts, regions);
-        targetsBySlice = cutSlices(hosts);
+        targetsBySlice = partitionIntoSlices(hosts);
         slicesByService = new HashMap<>();
         sliceByTarget = new HashMap<>();
-        index();
+        indexSlices();
         owners = Owners.assign(targetsBySlice.keySet(), ordering);
     }
 
@@ -237,7 +237,7 @@
      * @param slice the slice
      * @return the first candidate; empty when no live host runs whinwharf
      */
-    public Optional<Host> wouldBeOwner(SliceId slice) {
+    public Optional<Host> preferredOwner(SliceId slice) {
         return candidates(slice).stream().findFirst();
     }
 
@@ -258,7 +258,7 @@
         while (local < ordered.size() && ordered.get(local).getDataCentre().equals(slice.getDataCentre())) {
             local++;
         }
-        int count = Math.max(FEWEST_VOTERS, Math.min(MOST_VOTERS, local));
+        int count = Math.max(MIN_VOTERS, Math.min(MAX_VOTERS, local));
         return List.copyOf(ordered.subList(0, Math.min(count, ordered.size())));
     }
 
@@ -290,7 +290,7 @@
         return Set.copyOf(addresses);
     }
 
-    private static Map<SliceId, List<Host>> cutSlices(Map<String, Host> hosts) {
+    private static Map<SliceId, List<Host>> partitionIntoSlices(Map<String, Host> hosts) {
         Map<SliceId, List<Host>> groups = new HashMap<>();
         for (Host host : hosts.values()) {
             if (host.hasTarget()) {
@@ -301,11 +301,11 @@
         Map<SliceId, List<Host>> slices = new TreeMap<>(Comparator.comparing(SliceId::getService)
                 .thenComparing(SliceId::getDataCentre)
                 .thenComparing(SliceId::getIndex));
-        groups.forEach((whole, targets) -> cut(whole, targets, slices));
+        groups.forEach((whole, targets) -> partition(whole, targets, slices));
         return slices;
     }
 
-    private static void cut(SliceId whole, List<Host> targets, Map<SliceId, List<Host>> slices) {
+    private static void partition(SliceId whole, List<Host> targets, Map<SliceId, List<Host>> slices) {
         int count = sliceCount(targets.size());
         for (Host target : targets) {
             int index =
@@ -320,7 +320,7 @@
     // unless the number of targets doubles or halves.
     private static int sliceCount(int targets) {
         int count = 1;
-        while (targets > count * SLICE_TARGETS) {
+        while (targets > count * MAX_MEAN_TARGETS_PER_SLICE) {
             count *= 2;
         }
         return count;
@@ -334,7 +334,7 @@
                 .build();
     }
 
-    private void index() {
+    private void indexSlices() {
         targetsBySlice.forEach((slice, targets) -> {
             slicesByService
                     .computeIfAbsent(slice.getService(), key -> new ArrayList<>())
--- a/org.whinwharf/src/main/java/org/whinwharf/membership/internal/Owners.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/membership/internal/Owners.java
@@ -29,7 +29,7 @@
     public static Map<SliceId, Host> assign(Collection<SliceId> slices, Candidates ordering) {
         Map<SliceId, Host> owners = new HashMap<>();
         for (List<SliceId> together : byDataCentre(slices).values()) {
-            assignTogether(together, ordering, owners);
+            assignInDataCentre(together, ordering, owners);
         }
         return owners;
     }
@@ -44,7 +44,7 @@
         return byDataCentre;
     }
 
-    private static void assignTogether(List<SliceId> together, Candidates ordering, Map<SliceId, Host> owners) {
+    private static void assignInDataCentre(List<SliceId> together, Candidates ordering, Map<SliceId, Host> owners) {
         Map<String, Integer> owned = new HashMap<>();
         for (SliceId slice : together) {
             List<Host> nearest = ordering.nearest(slice);
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCore.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCore.java
@@ -198,7 +198,7 @@
         voter.prune(change.membership(), nowMillis);
         for (SliceId slice : change.membership().slices()) {
             boolean first = change.membership()
-                    .wouldBeOwner(slice)
+                    .preferredOwner(slice)
                     .filter(host -> host.getName().equals(context.self().host()))
                     .isPresent();
             if (first) {
