--- a/org.whinwharf.test/src/test/java/org/whinwharf/membership/MembershipTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/membership/MembershipTest.java
@@ -31,12 +31,12 @@
     @Test
     void candidateOrderIsIndependentOfListOrder() {
         List<Host> hosts = entryHosts(7);
-        Membership one = membership(1, hosts);
+        Membership original = membership(1, hosts);
         Collections.reverse(hosts);
-        Membership other = membership(1, hosts);
-        assertThat(one.candidates(SLICE), equalTo(other.candidates(SLICE)));
-        assertThat(one.candidates(SLICE), hasSize(7));
-        assertThat(one.candidates(SLICE).get(0).getDataCentre(), is("north-a"));
+        Membership reversed = membership(1, hosts);
+        assertThat(original.candidates(SLICE), equalTo(reversed.candidates(SLICE)));
+        assertThat(original.candidates(SLICE), hasSize(7));
+        assertThat(original.candidates(SLICE).get(0).getDataCentre(), is("north-a"));
     }
 
     @Test
@@ -44,17 +44,17 @@
         Membership membership = membership(1, targets(200));
         List<SliceId> slices = membership.slices("llm");
         assertThat(slices, hasSize(32));
-        int sum = 0;
+        int targetCount = 0;
         for (SliceId slice : slices) {
             int size = membership.targets(slice).size();
             assertThat(size, lessThanOrEqualTo(2 * Membership.MAX_MEAN_TARGETS_PER_SLICE));
-            sum += size;
+            targetCount += size;
         }
-        assertThat(sum, is(200));
+        assertThat(targetCount, is(200));
     }
 
-    // A target is replaced, as happens many times a day. If the others changed slices with it, all of them would get
-    // no work until every host knows the new list, and callers would see a service that stops at each replacement.
+    // Targets are replaced many times a day. If a replacement moved the other targets to new slices, none of them would
+    // receive requests until every host knows the new list, and the service would stall at each replacement.
     @Test
     void replacingOneTargetKeepsSlicesOfOtherTargets() {
         List<Host> hosts = targets(20);
@@ -99,25 +99,25 @@
     void votersAreHostsOfDataCentreAndAtLeastThree() {
         assertThat(membership(1, entryHosts(2)).voters(SLICE), hasSize(2));
         assertThat(membership(1, entryHosts(7)).voters(SLICE), hasSize(3));
-        Membership wide = membership(1, entryHosts(410));
-        assertThat(wide.voters(SLICE), hasSize(9));
+        Membership large = membership(1, entryHosts(410));
+        assertThat(large.voters(SLICE), hasSize(9));
         assertThat(
-                wide.voters(SLICE).stream().map(Host::getDataCentre).distinct().toList(), contains("north-a"));
+                large.voters(SLICE).stream().map(Host::getDataCentre).distinct().toList(), contains("north-a"));
     }
 
     @Test
     void removingHostPromotesNextCandidate() {
         List<Host> hosts = entryHosts(7);
         Membership before = membership(1, hosts);
-        Host gone = before.preferredOwner(SLICE).orElseThrow();
-        hosts.remove(gone);
+        Host removed = before.preferredOwner(SLICE).orElseThrow();
+        hosts.remove(removed);
         Membership after = membership(2, hosts);
-        assertThat(after.preferredOwner(SLICE).orElseThrow(), is(not(gone)));
+        assertThat(after.preferredOwner(SLICE).orElseThrow(), is(not(removed)));
         assertThat(after.candidates(SLICE), equalTo(before.candidates(SLICE).subList(1, 7)));
     }
 
-    // By hash alone one host may own several slices while others own none; it then sends and receives several times
-    // what a host is meant to, and its decisions come late.
+    // With hashing alone, one host may own several slices while others own none. That host then sends and receives
+    // several times the intended control traffic, and its decisions are late.
     @Test
     void noHostOwnsMoreSlicesThanTheMeanRoundedUp() {
         List<Host> hosts = targets(200);
@@ -133,8 +133,8 @@
         List<Host> hosts = targets(200);
         hosts.addAll(entryHosts(60));
         Membership before = membership(1, hosts);
-        Host gone = before.preferredOwner(before.slices("llm").get(0)).orElseThrow();
-        hosts.remove(gone);
+        Host removed = before.preferredOwner(before.slices("llm").get(0)).orElseThrow();
+        hosts.remove(removed);
         Membership after = membership(2, hosts);
         long moved = before.slices("llm").stream()
                 .filter(slice -> !before.preferredOwner(slice).equals(after.preferredOwner(slice)))
--- a/org.whinwharf/src/main/java/org/whinwharf/errors/Failure.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/errors/Failure.java
@@ -3,9 +3,9 @@
 /**
  * Result that carries an error.
  *
- * @param kind which error
- * @param detail what exactly was wrong, for people; holds no secret and no prompt
- * @param retryAfterMillis when to come back, in milliseconds from the answer; 0 when the kind says nothing of it
+ * @param kind kind of the error
+ * @param detail human-readable description of the cause; contains no secret and no prompt
+ * @param retryAfterMillis Retry-After delay in milliseconds, counted from the answer; 0 when the kind has none
  * @param <T> type of the value that a success would carry
  */
 public record Failure<T>(ErrorKind kind, String detail, long retryAfterMillis) implements Result<T> {
@@ -13,7 +13,7 @@
      * Returns this failure as the result of another type.
      *
      * @param <U> the other type
-     * @return failure with the same kind, detail and time
+     * @return failure with the same kind, detail and delay
      */
     public <U> Failure<U> as() {
         return new Failure<>(kind, detail, retryAfterMillis);
--- a/org.whinwharf/src/main/java/org/whinwharf/errors/Ran.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/errors/Ran.java
@@ -1,12 +1,12 @@
 package org.whinwharf.errors;
 
-/** What is known of whether a request ran at a target. */
+/** Whether a request ran at a target, as far as is known. */
 public enum Ran {
-    /** The request ran, perhaps in part. */
+    /** The request ran, possibly only in part. */
     RAN("ran"),
     /** The request did not run and never will. */
     NOT_RUN("not-run"),
-    /** Nobody who could be asked knows. */
+    /** No reachable process knows whether the request ran. */
     UNKNOWN("unknown");
 
     private final String wireName;
@@ -16,7 +16,7 @@
     }
 
     /**
-     * Returns the name that callers see.
+     * Returns the name that is reported to callers.
      *
      * @return name in lower case, such as {@code not-run}
      */
--- a/org.whinwharf/src/main/java/org/whinwharf/errors/Result.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/errors/Result.java
@@ -7,7 +7,7 @@
  */
 public sealed interface Result<T> permits Success, Failure {
     /**
-     * Makes a success.
+     * Returns a success.
      *
      * @param value the value
      * @param <T> type of the value
@@ -18,10 +18,10 @@
     }
 
     /**
-     * Makes a failure after which coming back is of no use.
+     * Returns a failure without a Retry-After delay, because a retry would not help.
      *
-     * @param kind which error
-     * @param detail what exactly was wrong
+     * @param kind kind of the error
+     * @param detail description of the cause
      * @param <T> type of the value that a success would carry
      * @return a failure
      */
--- a/org.whinwharf/src/main/java/org/whinwharf/errors/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/errors/package-info.java
@@ -1,2 +1,2 @@
-/** The closed list of error kinds, the answer each one gets, and the result types that carry them. */
+/** Closed list of error kinds with the answer of each, and the result types that carry them. */
 package org.whinwharf.errors;
--- a/org.whinwharf/src/main/java/org/whinwharf/lifecycle/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/lifecycle/package-info.java
@@ -1,2 +1,2 @@
-/** Start and stop of everything that owns threads, sockets or other resources. */
+/** Start and stop of components that own threads, sockets or other resources. */
 package org.whinwharf.lifecycle;
--- a/org.whinwharf/src/main/java/org/whinwharf/membership/Membership.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/membership/Membership.java
@@ -25,11 +25,11 @@
 /**
  * Immutable view of one revision of the host list under one document; safe for use by several threads.
  *
- * <p>Built once for each list revision or document generation. Slices are cut at once; the order of candidates of a
- * slice is worked out when it is first asked for and then kept.
+ * <p>Built once for each list revision or document generation. The constructor partitions the targets into slices; the
+ * candidates and voters of a slice are computed on first use and cached.
  */
 public final class Membership {
-    /** Most targets of a slice, on average. */
+    /** Maximum mean number of targets per slice; a single slice may hold more. */
     public static final int MAX_MEAN_TARGETS_PER_SLICE = 8;
 
     private static final HashFunction HASH = Hashing.murmur3_128();
@@ -102,20 +102,20 @@
     }
 
     /**
-     * Finds a host of the list, live or leaving.
+     * Returns a host of the list, live or leaving.
      *
      * @param name name of the host
-     * @return the host; empty when the list does not have it
+     * @return the host; empty when the list does not contain it
      */
     public Optional<Host> host(String name) {
         return Optional.ofNullable(hosts.get(name));
     }
 
     /**
-     * Tells whether a host is in the list and not leaving.
+     * Returns whether a host is in the list and not leaving.
      *
      * @param name name of the host
-     * @return true when it is live
+     * @return true when the host is live
      */
     public boolean isLive(String name) {
         Host host = hosts.get(name);
@@ -132,7 +132,7 @@
     }
 
     /**
-     * Returns all hosts that run whinwharf, also those that leave, ordered by name.
+     * Returns all hosts that run whinwharf, live or leaving, ordered by name.
      *
      * @return hosts with entry ports
      */
@@ -141,29 +141,29 @@
     }
 
     /**
-     * Returns the addresses from which a connection between whinwharf's processes is accepted.
+     * Returns the addresses from which connections of other whinwharf processes are accepted.
      *
-     * @return IP numbers of all listed hosts that run whinwharf, live or leaving
+     * @return IP addresses of all listed hosts that run whinwharf, live or leaving
      */
     public Set<String> allowedAddresses() {
         return allowedAddresses;
     }
 
     /**
-     * Tells whether a data centre may receive new work.
+     * Returns whether a data centre may receive new requests.
      *
      * @param dataCentre name of the data centre
-     * @return true when the document has it and has it in service
+     * @return true when the document lists the data centre as in service
      */
     public boolean isInService(String dataCentre) {
         return dataCentresInService.getOrDefault(dataCentre, false);
     }
 
     /**
-     * Tells whether a target may receive new work: live, and its data centre in service.
+     * Returns whether a target may receive new requests: it is live and its data centre is in service.
      *
      * @param target name of the target
-     * @return true when it may
+     * @return true when the target is usable
      */
     public boolean isUsable(String target) {
         Host host = hosts.get(target);
@@ -200,10 +200,10 @@
     }
 
     /**
-     * Finds the slice of a target.
+     * Returns the slice of a target.
      *
      * @param target name of the target
-     * @return its slice; empty when the list has no such target
+     * @return the slice; empty when the list has no such target
      */
     public Optional<SliceId> sliceOf(String target) {
         return Optional.ofNullable(sliceByTarget.get(target));
@@ -213,7 +213,7 @@
      * Returns the hosts that may own a slice.
      *
      * @param slice the slice
-     * @return live hosts, the one that is to own the slice first
+     * @return live hosts that run whinwharf, the preferred owner first
      */
     public List<Host> candidates(SliceId slice) {
         return candidates.computeIfAbsent(slice, this::orderCandidates);
@@ -232,7 +232,7 @@
     }
 
     /**
-     * Returns the host that is to own a slice.
+     * Returns the preferred owner of a slice.
      *
      * @param slice the slice
      * @return the first candidate; empty when no live host runs whinwharf
@@ -242,11 +242,11 @@
     }
 
     /**
-     * Returns the hosts whose pledges make an owner.
+     * Returns the hosts whose pledges elect the owner of a slice.
      *
      * @param slice the slice
-     * @return the first hosts by hash: those of the slice's data centre up to nine, and at least three where there are
-     *     so many hosts
+     * @return the first hosts in hash order: at most nine of the slice's data centre, filled up from other data centres
+     *     to three; fewer when the list has fewer live hosts
      */
     public List<Host> voters(SliceId slice) {
         return voters.computeIfAbsent(slice, this::chooseVoters);
@@ -315,9 +315,9 @@
         }
     }
 
-    // A target that moves to another slice gets no work until every process is sure to know. Were targets dealt out by
-    // their place in the list, one that comes or goes would move all the others; by hash and a power of two, none moves
-    // unless the number of targets doubles or halves.
+    // A target that moves to another slice receives no requests until every process is certain to know of the move.
+    // Assigning targets by their position in the list would move all others whenever one is added or removed. With a
+    // hash and a power of two as the number of slices, a target moves only when that number doubles or halves.
     private static int sliceCount(int targets) {
         int count = 1;
         while (targets > count * MAX_MEAN_TARGETS_PER_SLICE) {
--- a/org.whinwharf/src/main/java/org/whinwharf/membership/internal/Candidates.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/membership/internal/Candidates.java
@@ -32,7 +32,7 @@
      * Orders the hosts for a slice.
      *
      * @param slice the slice
-     * @return all hosts, the first one is to own the slice
+     * @return all hosts, the most preferred first
      */
     public List<Host> order(SliceId slice) {
         List<Ranked> ranked = new ArrayList<>(hosts.size());
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Returns the hosts of the nearest group that has any.
+     * Returns the hosts of the nearest group that is not empty.
      *
      * @param slice the slice
      * @return hosts of the slice's data centre, or of its region, or all, ordered as by {@link #order}
@@ -72,7 +72,7 @@
     }
 
     private record Ranked(Host host, int group, long weight) {
-        // Names break ties, so that all processes order alike whatever the order of the list.
+        // Names break ties, so that every process computes the same order, independent of the order of the list.
         private static final Comparator<Ranked> ORDER = Comparator.comparingInt(Ranked::group)
                 .thenComparing(Comparator.comparingLong(Ranked::weight).reversed())
                 .thenComparing(ranked -> ranked.host().getName());
--- a/org.whinwharf/src/main/java/org/whinwharf/membership/internal/Owners.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/membership/internal/Owners.java
@@ -10,11 +10,10 @@
 import org.whinwharf.wire.schema.Host;
 
 /**
- * Deals slices out to the hosts of their data centre: each to the first host by hash that has not got its part yet.
+ * Assigns each slice to a host of its nearest group: the first host in hash order that is below its limit.
  *
- * <p>By hash alone some host owns three slices while most own none, and its messages a second are three times what a
- * host is meant to spend on control. With a bound on the slices of a host the busiest has as many as the mean, rounded
- * up.
+ * <p>With hashing alone, one host may own three slices while most own none, and its rate of control messages is then
+ * three times what a host is meant to spend. The limit on the slices of a host is the mean, rounded up.
  */
 public final class Owners {
     private Owners() {}
@@ -24,12 +23,12 @@
      *
      * @param slices all slices, in an order that is the same in all processes
      * @param ordering order of the hosts for each slice
-     * @return the host that is to own each slice; lacks slices for which there is no host
+     * @return the preferred owner of each slice; slices without an eligible host are absent
      */
     public static Map<SliceId, Host> assign(Collection<SliceId> slices, Candidates ordering) {
         Map<SliceId, Host> owners = new HashMap<>();
-        for (List<SliceId> together : byDataCentre(slices).values()) {
-            assignInDataCentre(together, ordering, owners);
+        for (List<SliceId> dataCentreSlices : byDataCentre(slices).values()) {
+            assignInDataCentre(dataCentreSlices, ordering, owners);
         }
         return owners;
     }
@@ -44,14 +43,14 @@
         return byDataCentre;
     }
 
-    private static void assignInDataCentre(List<SliceId> together, Candidates ordering, Map<SliceId, Host> owners) {
-        Map<String, Integer> owned = new HashMap<>();
-        for (SliceId slice : together) {
+    private static void assignInDataCentre(List<SliceId> slices, Candidates ordering, Map<SliceId, Host> owners) {
+        Map<String, Integer> sliceCounts = new HashMap<>();
+        for (SliceId slice : slices) {
             List<Host> nearest = ordering.nearest(slice);
-            int bound = nearest.isEmpty() ? 0 : (together.size() + nearest.size() - 1) / nearest.size();
+            int maxSlices = nearest.isEmpty() ? 0 : (slices.size() + nearest.size() - 1) / nearest.size();
             for (Host host : nearest) {
-                if (owned.getOrDefault(host.getName(), 0) < bound) {
-                    owned.merge(host.getName(), 1, Integer::sum);
+                if (sliceCounts.getOrDefault(host.getName(), 0) < maxSlices) {
+                    sliceCounts.merge(host.getName(), 1, Integer::sum);
                     owners.put(slice, host);
                     break;
                 }
--- a/org.whinwharf/src/main/java/org/whinwharf/membership/internal/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/membership/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Ordering of candidates and cutting of slices. */
+/** Ordering of candidates and assignment of slices to owners. */
 package org.whinwharf.membership.internal;
--- a/org.whinwharf/src/main/java/org/whinwharf/membership/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/membership/package-info.java
@@ -1,2 +1,2 @@
-/** What the published host list and the document say together: hosts, targets, slices, candidates and voters. */
+/** View of the published host list combined with the document: hosts, targets, slices, candidates and voters. */
 package org.whinwharf.membership;
--- a/org.whinwharf/src/main/java/org/whinwharf/text/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/text/package-info.java
@@ -1,2 +1,2 @@
-/** Text that people read, from one resource bundle. */
+/** Human-readable text from resource bundles. */
 package org.whinwharf.text;
--- a/org.whinwharf/src/main/java/org/whinwharf/time/Ticker.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/time/Ticker.java
@@ -2,13 +2,13 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Monotonic clock of one process. Its readings mean nothing in another process. */
+/** Monotonic clock of one process. Readings are not comparable between processes. */
 @FunctionalInterface
 public interface Ticker {
     /**
      * Reads the clock.
      *
-     * @return milliseconds since an arbitrary instant; never falls
+     * @return milliseconds since an arbitrary instant; never decreases
      */
     long nowMillis();
 
--- a/org.whinwharf/src/main/java/org/whinwharf/time/package-info.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/time/package-info.java
@@ -1,2 +1,2 @@
-/** Time as the decisions see it. */
+/** Monotonic time for scheduling decisions. */
 package org.whinwharf.time;
