--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformDialectTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/PlatformDialectTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void requestIsReadIntoItsParts() throws BadRequestException {
+    void requestHeadIsParsed() throws BadRequestException {
         RequestHead head = dialect.readRequest(request());
         assertThat(head.attemptId(), is("9c41"));
         assertThat(head.path(), is("/a/b"));
@@ -60,11 +60,12 @@
     }
 
     /**
-     * A caller sets headers that only this system may set, or names one of them as belonging to its connection. The
-     * target would believe another organisation's name, keep memory for the caller, or run the request anywhere.
+     * A caller sets headers that only this system may set, or lists a header in its Connection header. If they were
+     * forwarded, the target would use the name of another organisation, reserve memory for the caller, or execute a
+     * request meant for another target.
      */
     @Test
-    void targetHearsTheSystemsWordsAndNotTheCallers() {
+    void headersReservedForTheSystemAreNotTakenFromTheCaller() {
         HttpRequest request = request();
         request.headers()
                 .set("X-Tenant", "forged")
@@ -98,7 +99,7 @@
     }
 
     @Test
-    void answerSaysWhetherItRan() {
+    void responseTellsWhetherTheRequestWasExecuted() {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
         assertThat(dialect.readResponse(response).notExecuted(), is(false));
         response.headers().set("X-Not-Executed", "1").set("Keep-Alive", "timeout=4, max=9");
@@ -107,9 +108,9 @@
         assertThat(head.keepAliveMillis(), is(OptionalLong.of(4_000)));
     }
 
-    /** The address of a target that is gone belongs to another one, which is healthy. */
+    /** The address of a removed target is reused by another target, which is healthy. */
     @Test
-    void healthOfAnotherTargetIsNotHealth() {
+    void healthyResponseOfAnotherTargetIsRejected() {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         response.headers().set("X-Instance-Id", "i-2").set("X-Cold-Ms", "1500");
         assertThat(dialect.readHealth(response, "i-1"), is(OptionalLong.empty()));
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreClientTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreClientTest.java
@@ -22,13 +22,13 @@
 
 class StoreClientTest {
     private static final String IP = "127.0.0.1";
-    private static final long PATIENCE_SECONDS = 20;
-    /** The smallest link in use, 7 Mbit/s. */
+    private static final long TIMEOUT_SECONDS = 20;
+    /** Bandwidth of the slowest link in use, 7 Mbit/s. */
     private static final int LINK_BYTES_PER_SECOND = 875_000;
-    /** Largest value that may be published. */
-    private static final int MOST_VALUE_BYTES = 1_048_576;
+    /** Maximum size of a published value. */
+    private static final int MAX_VALUE_BYTES = 1_048_576;
 
-    private static final int PIECE_BYTES = 8_192;
+    private static final int CHUNK_BYTES = 8_192;
 
     private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
@@ -37,29 +37,31 @@
         loop.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS);
     }
 
-    /** Guards against a host with a small link that can never read a large configuration, and so never serves. */
+    /**
+     * Guards against a host with a slow link that never reads a large configuration in time and therefore never serves.
+     */
     @Test
     void largePageOverASlowLinkIsRead() throws Exception {
         try (SlowStore store = new SlowStore(Integer.MAX_VALUE)) {
-            assertThat(store.range().get(PATIENCE_SECONDS, TimeUnit.SECONDS), is("1 items of " + MOST_VALUE_BYTES));
+            assertThat(store.range().get(TIMEOUT_SECONDS, TimeUnit.SECONDS), is("1 items of " + MAX_VALUE_BYTES));
         }
     }
 
-    /** Guards against waiting for ever for the rest of an answer whose connection hangs in the middle. */
+    /** Guards against waiting forever for the rest of a response whose connection stalls. */
     @Test
-    void answerThatStopsComingIsGivenUp() throws Exception {
-        try (SlowStore store = new SlowStore(MOST_VALUE_BYTES / 2)) {
-            assertThat(store.range().get(PATIENCE_SECONDS, TimeUnit.SECONDS), is("failed: timeout"));
+    void responseThatStallsTimesOut() throws Exception {
+        try (SlowStore store = new SlowStore(MAX_VALUE_BYTES / 2)) {
+            assertThat(store.range().get(TIMEOUT_SECONDS, TimeUnit.SECONDS), is("failed: timeout"));
         }
     }
 
-    /** A store that answers one call at the rate of a small link, and no more than so many bytes of it. */
+    /** A store that responds to one call at the rate of a slow link and stalls after a given number of body bytes. */
     private final class SlowStore implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName(IP));
-        private final int mostBytes;
+        private final int maxBytes;
 
         SlowStore(int mostBytes) throws IOException {
-            this.mostBytes = mostBytes;
+            this.maxBytes = mostBytes;
             Thread thread = new Thread(this::serve, "slow store");
             thread.setDaemon(true);
             thread.start();
@@ -68,9 +70,9 @@
         CompletableFuture<String> range() {
             CompletableFuture<String> outcome = new CompletableFuture<>();
             StoreClient client = new StoreClient(loop, IP + ":" + server.getLocalPort());
-            loop.execute(() -> client.range("op/", "", new StoreClient.Taker() {
+            loop.execute(() -> client.range("op/", "", new StoreClient.Callback() {
                 @Override
-                public void read(StoreClient.Page page) {
+                public void succeeded(StoreClient.Page page) {
                     int bytes = page.values().stream()
                             .mapToInt(value -> value.value().length)
                             .sum();
@@ -86,7 +88,7 @@
         }
 
         private void serve() {
-            String value = Base64.getEncoder().encodeToString(new byte[MOST_VALUE_BYTES]);
+            String value = Base64.getEncoder().encodeToString(new byte[MAX_VALUE_BYTES]);
             byte[] body = ("{\"items\":[{\"key\":\"op/config\",\"value\":\"" + value
                             + "\",\"revision\":5,\"created-at\":5,\"lease\":0}],\"truncated\":false,\"store-revision\":5}")
                     .getBytes(StandardCharsets.US_ASCII);
@@ -94,19 +96,19 @@
                 BufferedReader in =
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
                 while (!in.readLine().isEmpty()) {
-                    // The head of the call says nothing that the answer depends on.
+                    // The response does not depend on the request head.
                     continue;
                 }
                 OutputStream out = socket.getOutputStream();
                 out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
-                for (int from = 0; from < Math.min(mostBytes, body.length); from += PIECE_BYTES) {
-                    out.write(body, from, Math.min(PIECE_BYTES, body.length - from));
-                    TimeUnit.MICROSECONDS.sleep(1_000_000L * PIECE_BYTES / LINK_BYTES_PER_SECOND);
+                for (int from = 0; from < Math.min(maxBytes, body.length); from += CHUNK_BYTES) {
+                    out.write(body, from, Math.min(CHUNK_BYTES, body.length - from));
+                    TimeUnit.MICROSECONDS.sleep(1_000_000L * CHUNK_BYTES / LINK_BYTES_PER_SECOND);
                 }
-                TimeUnit.SECONDS.sleep(PATIENCE_SECONDS);
+                TimeUnit.SECONDS.sleep(TIMEOUT_SECONDS);
             } catch (IOException | InterruptedException e) {
-                // The client closed its end, or the test is over.
+                // The client closed the connection, or the test has ended.
                 return;
             }
         }
--- a/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreDecoderTest.java
+++ b/org.whinwharf.platform.test/src/test/java/org/whinwharf/platform/StoreDecoderTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void configurationIsReadIntoACatalog() throws IOException {
+    void configurationIsDecodedIntoACatalog() throws IOException {
         Catalog catalog = StoreDecoder.catalog(json(CONFIG));
         Route route = catalog.route("h.example", "/a/x").orElseThrow();
         assertThat(catalog.version(), is(7L));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void entryOfATargetIsRead() {
+    void entryOfATargetIsDecoded() {
         Target target = StoreDecoder.target(
                         "i-1",
                         json("{'service':'s','address':'10.128.0.9:8080','zone':'borborema','version':'v1','slots':7,"
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Other programs write under the same keys. An entry that lacks a field or has one of another type names no target;
-     * taking it for one would send requests to nowhere, or end the reading of all entries.
+     * Other programs write under the same keys. An entry that lacks a field, or has one of another type, is no target:
+     * decoding it as one would send requests to an invalid address, or abort the reading of all entries.
      */
     @ParameterizedTest
     @ValueSource(
@@ -82,7 +82,7 @@
                 "{'service':5,'address':'10.0.0.1:1','zone':'z','slots':7,'state':'ready'}",
                 "{'service':'s','address':'10.0.0.1:1','slots':7,'state':'ready'}"
             })
-    void entryOfAnotherWriterNamesNoTarget(String text) {
+    void malformedEntryYieldsNoTarget(String text) {
         assertThat(StoreDecoder.target("i-1", json(text)).isPresent(), is(false));
     }
 }
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/PlatformClient.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/PlatformClient.java
@@ -18,32 +18,32 @@
 import org.whinwharf.lifecycle.Service;
 import org.whinwharf.wire.schema.HostList;
 
-/** HTTP client of one of the platform's services. */
+/** HTTP client of one of the platform's services, such as its configuration service. */
 public final class PlatformClient implements Service {
-    private static final long LONGEST_HOLD_MILLIS = 30_000;
-    private static final long ANSWER_MILLIS = 5_000;
-    private static final long CONNECT_MILLIS = 2_000;
-    private static final int MAX_ANSWER_BYTES = 8 << 20;
+    private static final long MAX_LONG_POLL_MILLIS = 30_000;
+    private static final long RESPONSE_MARGIN_MILLIS = 5_000;
+    private static final long CONNECT_TIMEOUT_MILLIS = 2_000;
+    private static final int MAX_RESPONSE_BYTES = 8 << 20;
 
     private final HttpClient client;
 
     /**
-     * Makes a client. Opens no connection.
+     * Creates a client. Opens no connection.
      *
-     * @param baseUrl base URL of the service, by IP number
+     * @param baseUrl base URL of the service, with an IP address as its host
      */
     public PlatformClient(String baseUrl) {
         DefaultHttpClientConfiguration configuration = new DefaultHttpClientConfiguration();
-        configuration.setReadTimeout(Duration.ofMillis(LONGEST_HOLD_MILLIS + ANSWER_MILLIS));
-        configuration.setConnectTimeout(Duration.ofMillis(CONNECT_MILLIS));
-        configuration.setMaxContentLength(MAX_ANSWER_BYTES);
+        configuration.setReadTimeout(Duration.ofMillis(MAX_LONG_POLL_MILLIS + RESPONSE_MARGIN_MILLIS));
+        configuration.setConnectTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MILLIS));
+        configuration.setMaxContentLength(MAX_RESPONSE_BYTES);
         configuration.setNumOfThreads(1);
         client = HttpClient.create(url(baseUrl), configuration);
     }
 
     @Override
     public void start() {
-        // Connections are opened by the first read.
+        // The first read opens the connection.
     }
 
     @Override
@@ -52,24 +52,24 @@
     }
 
     /**
-     * Makes reads of the published document.
+     * Creates a reader of the published document.
      *
      * @param environment name of the environment
-     * @return reader of the published form
+     * @return reader of the document in its published, encoded form
      */
-    public PlatformReader<byte[]> documents(String environment) {
+    public PlatformReader<byte[]> documentReader(String environment) {
         String path = "/v1/documents/" + environment + "?above=%d&waitMillis=%d";
         return (above, waitMillis) -> read(path.formatted(above, waitMillis), PlatformAnswer.Changed::new);
     }
 
     /**
-     * Makes reads of the host list.
+     * Creates a reader of the host list.
      *
      * @return reader of the list
      */
-    public PlatformReader<HostList> hosts() {
+    public PlatformReader<HostList> hostListReader() {
         String path = "/v1/hosts?after=%d&waitMillis=%d";
-        return (above, waitMillis) -> read(path.formatted(above, waitMillis), PlatformClient::parse);
+        return (above, waitMillis) -> read(path.formatted(above, waitMillis), PlatformClient::parseHostList);
     }
 
     private <T> PlatformAnswer<T> read(String path, Function<byte[], PlatformAnswer<T>> parser) {
@@ -79,21 +79,21 @@
                 return new PlatformAnswer.Unchanged<>();
             }
             byte[] body = response.body();
-            return body == null ? new PlatformAnswer.Failed<>("empty answer") : parser.apply(body);
+            return body == null ? new PlatformAnswer.Failed<>("empty response body") : parser.apply(body);
         } catch (HttpClientResponseException e) {
-            return new PlatformAnswer.Failed<>("status " + e.code());
+            return new PlatformAnswer.Failed<>("HTTP status " + e.code());
         } catch (HttpClientException e) {
             return new PlatformAnswer.Failed<>(String.valueOf(e.getMessage()));
         }
     }
 
-    private static PlatformAnswer<HostList> parse(byte[] json) {
+    private static PlatformAnswer<HostList> parseHostList(byte[] json) {
         HostList.Builder list = HostList.newBuilder();
         try {
             JsonFormat.parser().ignoringUnknownFields().merge(new String(json, StandardCharsets.UTF_8), list);
             return new PlatformAnswer.Changed<>(list.build());
         } catch (InvalidProtocolBufferException e) {
-            return new PlatformAnswer.Failed<>("not a host list: " + e.getMessage());
+            return new PlatformAnswer.Failed<>("invalid host list: " + e.getMessage());
         }
     }
 
--- a/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/Watch.java
+++ b/org.whinwharf.runtime/src/main/java/org/whinwharf/runtime/platform/Watch.java
@@ -11,39 +11,39 @@
 import org.whinwharf.time.Ticker;
 
 /**
- * Thread that reads one thing of the platform again and again.
+ * Thread that repeatedly reads one published value of the platform.
  *
- * @param <T> type of what is published
+ * @param <T> type of the published value
  */
 public final class Watch<T> implements Service {
     private static final Logger LOG = LogManager.getLogger(Watch.class);
-    private static final long STOP_MILLIS = 500;
+    private static final long STOP_TIMEOUT_MILLIS = 500;
 
     private final Thread thread;
     private final PlatformReader<T> reader;
     private final WatchListener<T> listener;
     private final Pacing pacing;
-    private final LongSupplier known;
-    private final IntSupplier processes;
+    private final LongSupplier knownRevision;
+    private final IntSupplier fleetSize;
     private final Ticker ticker;
     private final CountDownLatch stopping = new CountDownLatch(1);
-    private final AtomicLong reads = new AtomicLong();
+    private final AtomicLong readCount = new AtomicLong();
 
     private Watch(Builder<T> builder) {
         reader = builder.reader;
         listener = builder.listener;
         pacing = builder.pacing;
-        known = builder.known;
-        processes = builder.processes;
+        knownRevision = builder.knownRevision;
+        fleetSize = builder.fleetSize;
         ticker = builder.ticker;
         thread = new Thread(this::run, builder.name);
         thread.setDaemon(true);
     }
 
     /**
-     * Starts the description of a watch.
+     * Creates a builder of a watch.
      *
-     * @param <T> type of what is published
+     * @param <T> type of the published value
      * @return a builder
      */
     public static <T> Builder<T> builder() {
@@ -60,62 +60,62 @@
         stopping.countDown();
         thread.interrupt();
         try {
-            thread.join(STOP_MILLIS);
+            thread.join(STOP_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Returns how many reads were begun; the platform counts each one.
+     * Returns the number of reads started; the platform counts each one.
      *
-     * @return count since the start
+     * @return number since the start
      */
-    public long reads() {
-        return reads.get();
+    public long readCount() {
+        return readCount.get();
     }
 
     private void run() {
         try {
-            boolean stopped = stopping.await(pacing.startMillis(processes.getAsInt()), TimeUnit.MILLISECONDS);
+            boolean stopped = stopping.await(pacing.initialDelayMillis(fleetSize.getAsInt()), TimeUnit.MILLISECONDS);
             while (!stopped) {
                 stopped = stopping.await(readOnce(), TimeUnit.MILLISECONDS);
             }
         } catch (InterruptedException e) {
-            LOG.debug("{} ends", thread.getName());
+            LOG.debug("{} stops", thread.getName());
         }
     }
 
     private long readOnce() {
-        long askedAtMillis = ticker.nowMillis();
-        reads.incrementAndGet();
+        long requestedAtMillis = ticker.nowMillis();
+        readCount.incrementAndGet();
         PlatformAnswer<T> answer = read();
         if (stopping.getCount() > 0) {
-            listener.answered(answer, askedAtMillis);
+            listener.readCompleted(answer, requestedAtMillis);
         }
-        return pacing.nextMillis(answer, ticker.nowMillis() - askedAtMillis, processes.getAsInt());
+        return pacing.nextDelayMillis(answer, ticker.nowMillis() - requestedAtMillis, fleetSize.getAsInt());
     }
 
     private PlatformAnswer<T> read() {
         try {
-            return reader.read(known.getAsLong(), pacing.holdMillis());
+            return reader.read(knownRevision.getAsLong(), pacing.longPollMillis());
         } catch (RuntimeException e) {
             return new PlatformAnswer.Failed<>(String.valueOf(e.getMessage()));
         }
     }
 
     /**
-     * Describes a watch.
+     * Builder of a watch.
      *
-     * @param <T> type of what is published
+     * @param <T> type of the published value
      */
     public static final class Builder<T> {
         private String name = "watch";
         private PlatformReader<T> reader;
         private WatchListener<T> listener;
         private Pacing pacing;
-        private LongSupplier known = () -> 0;
-        private IntSupplier processes = () -> 0;
+        private LongSupplier knownRevision = () -> 0;
+        private IntSupplier fleetSize = () -> 0;
         private Ticker ticker = Ticker.system();
 
         private Builder() {}
@@ -132,9 +132,9 @@
         }
 
         /**
-         * Sets what is read.
+         * Sets the reader.
          *
-         * @param reader the read
+         * @param reader reads the published value
          * @return this builder
          */
         public Builder<T> reader(PlatformReader<T> reader) {
@@ -143,7 +143,7 @@
         }
 
         /**
-         * Sets who takes the answers.
+         * Sets the listener for the outcomes of reads.
          *
          * @param listener the listener
          * @return this builder
@@ -154,9 +154,9 @@
         }
 
         /**
-         * Sets the times between reads.
+         * Sets the pacing, which determines the delays between reads.
          *
-         * @param pacing used by this watch alone
+         * @param pacing pacing that only this watch uses
          * @return this builder
          */
         public Builder<T> pacing(Pacing pacing) {
@@ -165,24 +165,24 @@
         }
 
         /**
-         * Sets how the known generation or revision is found.
+         * Sets the supplier of the known generation or revision.
          *
-         * @param known called before each read
+         * @param knownRevision supplies it before each read; 0 for none
          * @return this builder
          */
-        public Builder<T> known(LongSupplier known) {
-            this.known = known;
+        public Builder<T> knownRevision(LongSupplier knownRevision) {
+            this.knownRevision = knownRevision;
             return this;
         }
 
         /**
-         * Sets how the size of the fleet is found.
+         * Sets the supplier of the size of the fleet.
          *
-         * @param processes number of processes; 0 while not known
+         * @param fleetSize supplies the number of processes; 0 while unknown
          * @return this builder
          */
-        public Builder<T> processes(IntSupplier processes) {
-            this.processes = processes;
+        public Builder<T> fleetSize(IntSupplier fleetSize) {
+            this.fleetSize = fleetSize;
             return this;
         }
 
@@ -198,7 +198,7 @@
         }
 
         /**
-         * Makes the watch.
+         * Creates the watch.
          *
          * @return a watch, not yet started
          */
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/SchedulerDaemon.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/SchedulerDaemon.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 import org.whinwharf.document.DocumentView;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.Rules;
-import org.whinwharf.owner.placement.Placement;
+import org.whinwharf.owner.SchedulerConfiguration;
+import org.whinwharf.owner.placement.PlacementStrategy;
 import org.whinwharf.runtime.command.Daemon;
 import org.whinwharf.runtime.duty.Duty;
 import org.whinwharf.runtime.duty.DutyHandler;
@@ -20,11 +20,11 @@
 import org.whinwharf.wire.schema.SchedulerSettings;
 import org.whinwharf.wire.status.SliceState;
 
-/** Scheduler process: one duty decides, one reads the targets. */
+/** Scheduler process. One duty makes all decisions, another polls the load of the targets. */
 public final class SchedulerDaemon implements Daemon {
     private static final int RING_SIZE = 16_384;
     private static final long TICK_MILLIS = 50;
-    private static final long LIST_WAIT_MILLIS = 10_000;
+    private static final long HOST_LIST_TIMEOUT_MILLIS = 10_000;
 
     private final Node node;
     private final Duty<Consumer<SchedulerLoop>> decisions;
@@ -32,7 +32,7 @@
     private final SchedulerLoop loop;
 
     /**
-     * Makes the process. Opens no port.
+     * Creates the process without opening a port.
      *
      * @param settings checked settings
      */
@@ -41,17 +41,17 @@
         node = Node.builder()
                 .settings(settings.getNode())
                 .role(Role.SCHEDULER)
-                .listener(new Changes())
+                .listener(new ConfigurationListener())
                 .peers(links)
-                .listWaitMillis(LIST_WAIT_MILLIS)
+                .listWaitMillis(HOST_LIST_TIMEOUT_MILLIS)
                 .status(status -> status.addAllSlices(states()))
                 .call();
         poller = new LoadPoller(settings.getLoadPollMillis(), node.ticker(), this::offer);
-        Placement placement = Placement.named(settings.getPlacement());
+        PlacementStrategy placement = PlacementStrategy.fromSetting(settings.getPlacement());
         loop = new SchedulerLoop(node, links, poller, new SchedulerMetrics(node.registry()), placement);
         decisions = Duty.<Consumer<SchedulerLoop>>builder()
                 .name("decisions")
-                .handler(new Handler())
+                .handler(new DecisionHandler())
                 .ringSize(RING_SIZE)
                 .tickMillis(TICK_MILLIS)
                 .call();
@@ -68,7 +68,7 @@
     public CompletableFuture<Void> leave() {
         CompletableFuture<Void> handedOver = new CompletableFuture<>();
         node.leave();
-        offer(each -> each.leave(handedOver));
+        offer(receiver -> receiver.leave(handedOver));
         return handedOver;
     }
 
@@ -87,7 +87,7 @@
         return loop == null ? List.of() : loop.states();
     }
 
-    private final class Handler implements DutyHandler<Consumer<SchedulerLoop>> {
+    private final class DecisionHandler implements DutyHandler<Consumer<SchedulerLoop>> {
         @Override
         public void handle(Consumer<SchedulerLoop> event) {
             event.accept(loop);
@@ -99,16 +99,17 @@
         }
     }
 
-    private final class Changes implements NodeListener {
+    private final class ConfigurationListener implements NodeListener {
         @Override
         public void documentChanged(DocumentView document) {
-            Rules rules = Rules.of(document.services(), document.tiers(), document.timing());
-            offer(each -> each.ruled(rules));
+            SchedulerConfiguration configuration =
+                    SchedulerConfiguration.of(document.services(), document.tiers(), document.timing());
+            offer(receiver -> receiver.documentChanged(configuration));
         }
 
         @Override
         public void membershipChanged(Membership membership) {
-            offer(each -> each.listed(membership));
+            offer(receiver -> receiver.membershipChanged(membership));
         }
     }
 }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLog.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLog.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.whinwharf.owner.HomeId;
+import org.whinwharf.owner.ProcessId;
 import org.whinwharf.runtime.log.EventField;
 import org.whinwharf.runtime.log.EventLog;
 import org.whinwharf.runtime.log.LogEvent;
@@ -13,11 +13,11 @@
 import org.whinwharf.wire.status.SliceState;
 import org.whinwharf.wire.status.TargetState;
 
-/** Log lines of the scheduler. */
+/** Writes the log events of the scheduler. */
 final class SchedulerLog {
-    private final Map<String, Integer> floors = new HashMap<>();
+    private final Map<String, Integer> loggedFloors = new HashMap<>();
 
-    void sent(HomeId home, Frame frame) {
+    void sent(ProcessId home, Frame frame) {
         if (frame.hasRefusal()) {
             Refusal refusal = frame.getRefusal();
             EventLog.event(LogEvent.SHED)
@@ -25,7 +25,7 @@
                     .with(EventField.PEER, home.host())
                     .with(EventField.SLICE, name(refusal.getSlice()))
                     .with(EventField.REASON, refusal.getReason().name())
-                    .with(EventField.COME_BACK_MILLIS, refusal.getComeBackMillis())
+                    .with(EventField.RETRY_AFTER_MILLIS, refusal.getComeBackMillis())
                     .call();
         }
     }
@@ -34,14 +34,15 @@
         if (frame.hasFloorRaise()) {
             int rank = frame.getFloorRaise().getRank();
             String service = frame.getFloorRaise().getService();
-            if (!Integer.valueOf(rank).equals(floors.put(service, rank))) {
+            if (!Integer.valueOf(rank).equals(loggedFloors.put(service, rank))) {
                 EventLog.event(LogEvent.FLOOR_RAISED)
                         .with(EventField.SERVICE, service)
                         .with(EventField.FLOOR_RANK, rank)
                         .with(EventField.PEER, host)
                         .call();
             }
-        } else if (frame.hasFloorLower() && floors.remove(frame.getFloorLower().getService()) != null) {
+        } else if (frame.hasFloorLower()
+                && loggedFloors.remove(frame.getFloorLower().getService()) != null) {
             EventLog.event(LogEvent.FLOOR_LOWERED)
                     .with(EventField.SERVICE, frame.getFloorLower().getService())
                     .with(EventField.PEER, host)
@@ -49,27 +50,27 @@
         }
     }
 
-    /** Logs what differs between two surveys. */
-    void changed(List<SliceState> before, List<SliceState> after) {
-        Map<String, SliceState> old = new HashMap<>();
-        before.forEach(state -> old.put(name(state), state));
+    /** Logs the differences between two snapshots of the slices. */
+    void logChanges(List<SliceState> before, List<SliceState> after) {
+        Map<String, SliceState> previousByName = new HashMap<>();
+        before.forEach(state -> previousByName.put(name(state), state));
         for (SliceState state : after) {
-            SliceState earlier = old.remove(name(state));
-            shareChanged(earlier, state);
-            targetsChanged(earlier, state);
+            SliceState previous = previousByName.remove(name(state));
+            shareChanged(previous, state);
+            targetsChanged(previous, state);
         }
-        old.forEach((name, state) -> lost(name, "no longer handled here"));
+        previousByName.forEach((name, state) -> lost(name, "slice is no longer handled by this process"));
     }
 
-    private static void shareChanged(SliceState earlier, SliceState state) {
-        double before = earlier == null ? 0 : earlier.getShare();
+    private static void shareChanged(SliceState previous, SliceState state) {
+        double before = previous == null ? 0 : previous.getShare();
         if (before != state.getShare() && state.getShare() > 0) {
             EventLog.event(LogEvent.SLICE_OWNED)
                     .with(EventField.SLICE, name(state))
                     .with(EventField.SHARE, state.getShare())
                     .call();
         } else if (before > 0 && state.getShare() == 0) {
-            lost(name(state), "pledges have run out");
+            lost(name(state), "pledges have expired");
         }
     }
 
@@ -80,10 +81,10 @@
                 .call();
     }
 
-    private static void targetsChanged(SliceState earlier, SliceState state) {
+    private static void targetsChanged(SliceState previous, SliceState state) {
         Map<String, String> before = new HashMap<>();
-        if (earlier != null) {
-            earlier.getTargetsList().forEach(target -> before.put(target.getName(), target.getState()));
+        if (previous != null) {
+            previous.getTargetsList().forEach(target -> before.put(target.getName(), target.getState()));
         }
         for (TargetState target : state.getTargetsList()) {
             String from = before.getOrDefault(target.getName(), "unknown");
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLoop.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerLoop.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.Action;
-import org.whinwharf.owner.Event;
-import org.whinwharf.owner.HomeId;
-import org.whinwharf.owner.Rules;
+import org.whinwharf.owner.ProcessId;
+import org.whinwharf.owner.SchedulerAction;
+import org.whinwharf.owner.SchedulerConfiguration;
 import org.whinwharf.owner.SchedulerCore;
-import org.whinwharf.owner.placement.Placement;
+import org.whinwharf.owner.SchedulerEvent;
+import org.whinwharf.owner.placement.PlacementStrategy;
 import org.whinwharf.runtime.node.Node;
 import org.whinwharf.time.Ticker;
 import org.whinwharf.wire.message.Frame;
@@ -23,9 +23,9 @@
 import org.whinwharf.wire.schema.Host;
 import org.whinwharf.wire.status.SliceState;
 
-/** Duty that decides: feeds the decisions with what happens and does what they say. Confined to its thread. */
+/** Passes events to {@link SchedulerCore} and performs its actions. Confined to the duty that makes decisions. */
 public final class SchedulerLoop {
-    private static final long SURVEY_MILLIS = 500;
+    private static final long SNAPSHOT_INTERVAL_MILLIS = 500;
 
     private final Node node;
     private final Ticker ticker;
@@ -35,91 +35,93 @@
     private final SchedulerSpans spans;
     private final SchedulerLog log = new SchedulerLog();
     private final SchedulerCore core;
-    private final Set<PeerAddress> connected = new HashSet<>();
-    private Rules rules;
+    private final Set<PeerAddress> connectedPeers = new HashSet<>();
+    private SchedulerConfiguration configuration;
     private Membership membership;
     private CompletableFuture<Void> handedOver;
-    private long surveyedAtMillis;
+    private long lastSnapshotMillis;
     private volatile List<SliceState> states = List.of();
 
     /**
      * Creates the loop.
      *
-     * @param node what the process knows of the fleet
-     * @param links links with other processes
-     * @param poller reader of targets
-     * @param metrics metrics
-     * @param placement how targets are chosen
+     * @param node node of this process, with its clock, network and tracer
+     * @param links links to other processes
+     * @param poller poller of target loads
+     * @param metrics metrics of the scheduler
+     * @param placement strategy that chooses targets
      */
     public SchedulerLoop(
-            Node node, SchedulerLinks links, LoadPoller poller, SchedulerMetrics metrics, Placement placement) {
+            Node node, SchedulerLinks links, LoadPoller poller, SchedulerMetrics metrics, PlacementStrategy placement) {
         this.node = node;
         this.ticker = node.ticker();
         this.links = links;
         this.poller = poller;
         this.metrics = metrics;
         this.spans = new SchedulerSpans(node);
-        HomeId self = new HomeId(node.settings().getHost(), node.incarnation());
+        ProcessId self = new ProcessId(node.settings().getHost(), node.incarnation());
         this.core = new SchedulerCore(self, placement, ticker.nowMillis());
     }
 
     /**
-     * Returns the slices as they stood a moment ago; safe for use by several threads.
+     * Returns the latest snapshot of the slices; safe for use by several threads.
      *
-     * @return states
+     * @return state of each slice
      */
     public List<SliceState> states() {
         return states;
     }
 
     /**
-     * Takes in another document.
+     * Applies a new document.
      *
-     * @param newRules what it says
+     * @param newConfiguration scheduler settings from the document
      */
-    public void ruled(Rules newRules) {
-        rules = newRules;
-        view();
+    public void documentChanged(SchedulerConfiguration newConfiguration) {
+        configuration = newConfiguration;
+        applyConfiguration();
     }
 
     /**
-     * Takes in another view of the host list.
+     * Applies a new view of the host list.
      *
-     * @param newMembership the view
+     * @param newMembership the new view
      */
-    public void listed(Membership newMembership) {
+    public void membershipChanged(Membership newMembership) {
         membership = newMembership;
-        view();
+        applyConfiguration();
     }
 
     /**
      * Begins a planned stop.
      *
-     * @param whenHandedOver completed when nothing of any slice is left here
+     * @param whenHandedOver completed when all slices are handed over
      */
     public void leave(CompletableFuture<Void> whenHandedOver) {
         handedOver = whenHandedOver;
-        run(new Event.Leave());
+        handle(new SchedulerEvent.Leave());
     }
 
-    /** Lets time pass. */
+    /** Performs periodic work. */
     public void tick() {
-        for (Optional<PeerLink> lost = links.nextUnheardLoss(); lost.isPresent(); lost = links.nextUnheardLoss()) {
+        for (Optional<PeerLink> lost = links.pollPendingLinkLoss();
+                lost.isPresent();
+                lost = links.pollPendingLinkLoss()) {
             linkDown(lost.get());
         }
-        run(new Event.Tick());
-        if (ticker.nowMillis() - surveyedAtMillis >= SURVEY_MILLIS) {
-            surveyedAtMillis = ticker.nowMillis();
-            survey();
+        handle(new SchedulerEvent.Tick());
+        if (ticker.nowMillis() - lastSnapshotMillis >= SNAPSHOT_INTERVAL_MILLIS) {
+            lastSnapshotMillis = ticker.nowMillis();
+            updateSnapshot();
         }
-        if (handedOver != null && core.hasHandedOver(ticker.nowMillis())) {
+        if (handedOver != null && core.isHandoverComplete(ticker.nowMillis())) {
             handedOver.complete(null);
         }
     }
 
     void linkUp(PeerLink link) {
         if (links.add(link) && link.peer().getRole() == Role.SCHEDULER) {
-            run(new Event.PeerUp(SchedulerLinks.id(link)));
+            handle(new SchedulerEvent.PeerConnected(SchedulerLinks.id(link)));
         }
     }
 
@@ -127,61 +129,61 @@
         if (!links.remove(link)) {
             return;
         }
-        HomeId id = SchedulerLinks.id(link);
+        ProcessId id = SchedulerLinks.id(link);
         if (link.peer().getRole() == Role.SCHEDULER) {
-            run(new Event.PeerLost(id));
+            handle(new SchedulerEvent.PeerDisconnected(id));
         } else if (link.peer().getRole() == Role.ENTRY) {
             spans.lost(id);
-            run(new Event.EntryLost(id));
+            handle(new SchedulerEvent.EntryDisconnected(id));
         }
     }
 
     void received(PeerLink link, Frame frame) {
-        HomeId id = SchedulerLinks.id(link);
+        ProcessId id = SchedulerLinks.id(link);
         if (link.peer().getRole() == Role.SCHEDULER) {
-            run(new Event.FromPeer(id, frame));
+            handle(new SchedulerEvent.PeerFrame(id, frame));
         } else if (link.peer().getRole() == Role.ENTRY) {
             spans.received(id, frame);
-            run(new Event.FromEntry(id, frame));
+            handle(new SchedulerEvent.EntryFrame(id, frame));
         }
     }
 
-    void run(Event event) {
-        for (Action action : core.handle(event, ticker.nowMillis())) {
-            act(action);
+    void handle(SchedulerEvent event) {
+        for (SchedulerAction action : core.handle(event, ticker.nowMillis())) {
+            perform(action);
         }
     }
 
-    private void act(Action action) {
-        if (action instanceof Action.ToEntry send) {
+    private void perform(SchedulerAction action) {
+        if (action instanceof SchedulerAction.SendToEntry send) {
             log.sent(send.home(), send.frame());
-            links.toEntry(send.home(), spans.sending(send.home(), send.frame()));
-        } else if (action instanceof Action.ToPeer send) {
+            links.toEntry(send.home(), spans.endOnSend(send.home(), send.frame()));
+        } else if (action instanceof SchedulerAction.SendToPeer send) {
             log.sent(send.host(), send.frame());
             links.toScheduler(send.host(), send.frame());
-        } else if (action instanceof Action.Counted counted) {
-            metrics.count(counted.measure(), counted.label());
+        } else if (action instanceof SchedulerAction.IncrementCounter counted) {
+            metrics.increment(counted.counter(), counted.label());
         }
     }
 
-    private void view() {
-        if (rules != null && membership != null) {
-            run(new Event.Viewed(membership, rules));
-            survey();
+    private void applyConfiguration() {
+        if (configuration != null && membership != null) {
+            handle(new SchedulerEvent.ConfigurationChanged(membership, configuration));
+            updateSnapshot();
         }
     }
 
-    private void survey() {
+    private void updateSnapshot() {
         if (membership == null) {
             return;
         }
         long nowMillis = ticker.nowMillis();
-        connect(core.peersNeeded(nowMillis));
-        poller.read(targets());
-        List<SliceState> now = core.states(nowMillis);
-        log.changed(states, now);
-        states = now;
-        metrics.update(now);
+        connect(core.requiredPeers(nowMillis));
+        poller.updateTargets(targets());
+        List<SliceState> snapshot = core.states(nowMillis);
+        log.logChanges(states, snapshot);
+        states = snapshot;
+        metrics.update(snapshot);
     }
 
     private void connect(Set<String> hosts) {
@@ -197,26 +199,27 @@
                             host.getEntry().getSchedulerPeer())));
         }
         for (PeerAddress address : wanted) {
-            if (connected.add(address)) {
+            if (connectedPeers.add(address)) {
                 node.network().connect(address);
             }
         }
-        connected.removeIf(address -> {
-            boolean gone = !wanted.contains(address);
-            if (gone) {
+        connectedPeers.removeIf(address -> {
+            boolean obsolete = !wanted.contains(address);
+            if (obsolete) {
                 node.network().disconnect(address);
             }
-            return gone;
+            return obsolete;
         });
     }
 
     private Map<String, LoadPoller.Target> targets() {
         Map<String, LoadPoller.Target> targets = new HashMap<>();
-        for (String name : core.targetsToRead()) {
+        for (String name : core.targetsToPoll()) {
             membership
                     .host(name)
                     .filter(Host::hasTarget)
-                    .ifPresent(host -> targets.put(name, LoadPoller.Target.of(host, rules, core.lastCacheEvent(name))));
+                    .ifPresent(host -> targets.put(
+                            name, LoadPoller.Target.of(host, configuration, core.lastCacheEventNumber(name))));
         }
         return targets;
     }
--- a/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerSpans.java
+++ b/org.whinwharf.scheduler/src/main/java/org/whinwharf/scheduler/internal/SchedulerSpans.java
@@ -5,41 +5,41 @@
 import io.opentelemetry.api.trace.Tracer;
 import java.util.HashMap;
 import java.util.Map;
-import org.whinwharf.owner.HomeId;
+import org.whinwharf.owner.ProcessId;
 import org.whinwharf.runtime.node.Node;
 import org.whinwharf.runtime.trace.TraceParent;
 import org.whinwharf.wire.message.Frame;
 
-/** Spans of requests while they wait here. Confined to the duty that decides. */
+/** Trace spans of requests while they wait here. Confined to the duty that makes decisions. */
 final class SchedulerSpans {
-    private static final int MOST = 65_536;
+    private static final int MAX_WAITING_SPANS = 65_536;
 
     private final Node node;
-    private final Map<Key, Span> waiting = new HashMap<>();
+    private final Map<Key, Span> waitingSpans = new HashMap<>();
     private Tracer tracer;
 
     SchedulerSpans(Node node) {
         this.node = node;
     }
 
-    void received(HomeId home, Frame frame) {
-        if (frame.hasEnqueue() && !frame.getTraceParent().isEmpty() && waiting.size() < MOST) {
+    void received(ProcessId home, Frame frame) {
+        if (frame.hasEnqueue() && !frame.getTraceParent().isEmpty() && waitingSpans.size() < MAX_WAITING_SPANS) {
             Span span = tracer().spanBuilder("schedule")
                     .setParent(TraceParent.context(frame.getTraceParent()))
                     .setSpanKind(SpanKind.SERVER)
                     .setAttribute("tier_rank", frame.getEnqueue().getTierRank())
                     .startSpan();
-            Span earlier = waiting.put(new Key(home, frame.getEnqueue().getRequest()), span);
-            if (earlier != null) {
-                earlier.end();
+            Span previous = waitingSpans.put(new Key(home, frame.getEnqueue().getRequest()), span);
+            if (previous != null) {
+                previous.end();
             }
         } else if (frame.hasWithdraw()) {
             end(new Key(home, frame.getWithdraw().getRequest()), "withdrawn");
         }
     }
 
-    /** Ends the span of a request that is granted or refused; its identity goes with the answer. */
-    Frame sending(HomeId home, Frame frame) {
+    /** Ends the span of a granted or refused request, and returns the frame with the span as its trace parent. */
+    Frame endOnSend(ProcessId home, Frame frame) {
         if (frame.hasGrant()) {
             Key key = new Key(home, frame.getGrant().getRequest());
             return with(frame, end(key, "granted " + frame.getGrant().getTarget()));
@@ -51,8 +51,8 @@
         return frame;
     }
 
-    void lost(HomeId home) {
-        waiting.entrySet().removeIf(entry -> {
+    void lost(ProcessId home) {
+        waitingSpans.entrySet().removeIf(entry -> {
             boolean lost = entry.getKey().home().equals(home);
             if (lost) {
                 entry.getValue().end();
@@ -62,7 +62,7 @@
     }
 
     private Span end(Key key, String outcome) {
-        Span span = waiting.remove(key);
+        Span span = waitingSpans.remove(key);
         if (span != null) {
             span.setAttribute("outcome", outcome);
             span.end();
@@ -83,5 +83,5 @@
         return tracer;
     }
 
-    private record Key(HomeId home, long request) {}
+    private record Key(ProcessId home, long request) {}
 }
--- a/org.whinwharf.steward.test/src/test/java/org/whinwharf/steward/FakeSurroundings.java
+++ b/org.whinwharf.steward.test/src/test/java/org/whinwharf/steward/FakePlatformAndEngine.java
@@ -38,12 +38,12 @@
 import org.whinwharf.wire.schema.ServiceSpec;
 import org.whinwharf.wire.schema.Tier;
 
-/** Platform and one engine on one port, both of which a test controls. */
-final class FakeSurroundings implements AutoCloseable {
+/** Fake platform and engine on one port. Tests publish host lists and documents, and read the accepted orders. */
+final class FakePlatformAndEngine implements AutoCloseable {
     static final String ENVIRONMENT = "trial";
 
-    private static final String KIND = "fake-surroundings";
-    private static final long PATIENCE_SECONDS = 20;
+    private static final String KIND = "fake-platform-and-engine";
+    private static final long ORDER_TIMEOUT_SECONDS = 20;
 
     private final ApplicationContext context;
     private final EmbeddedServer server;
@@ -54,11 +54,11 @@
     private volatile EngineState state =
             EngineState.newBuilder().setStartNumber(1).build();
 
-    FakeSurroundings(String address) {
+    FakePlatformAndEngine(String address) {
         Map<String, Object> properties = Map.of(
                 AdminServer.SERVER_PROPERTY, KIND, "micronaut.server.host", address, "micronaut.server.port", -1);
         context = ApplicationContext.builder(properties).banner(false).build();
-        context.registerSingleton(FakeSurroundings.class, this);
+        context.registerSingleton(FakePlatformAndEngine.class, this);
         context.start();
         server = context.getBean(EmbeddedServer.class).start();
     }
@@ -71,10 +71,10 @@
         return "http://" + server.getHost() + ":" + server.getPort();
     }
 
-    void publish(long revision, Host... listed) {
+    void publish(long revision, Host... publishedHosts) {
         hosts = HostList.newBuilder()
                 .setRevision(revision)
-                .addAllHosts(java.util.List.of(listed))
+                .addAllHosts(java.util.List.of(publishedHosts))
                 .build();
     }
 
@@ -108,14 +108,14 @@
     }
 
     EngineOrder nextOrder() throws InterruptedException {
-        EngineOrder order = orders.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        EngineOrder order = orders.poll(ORDER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (order == null) {
-            throw new AssertionError("no order came");
+            throw new AssertionError("no order within " + ORDER_TIMEOUT_SECONDS + " s");
         }
         return order;
     }
 
-    int ordersWaiting() {
+    int unreadOrders() {
         return orders.size();
     }
 
@@ -138,13 +138,13 @@
         return true;
     }
 
-    /** Routes of the fake. */
+    /** HTTP routes of the platform and the engine. */
     @Controller
     @Requires(property = AdminServer.SERVER_PROPERTY, value = KIND)
     static final class Routes {
-        private final FakeSurroundings fake;
+        private final FakePlatformAndEngine fake;
 
-        Routes(FakeSurroundings fake) {
+        Routes(FakePlatformAndEngine fake) {
             this.fake = fake;
         }
 
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/StewardDaemon.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/StewardDaemon.java
@@ -8,13 +8,13 @@
 import org.whinwharf.runtime.duty.DutyHandler;
 import org.whinwharf.runtime.node.Node;
 import org.whinwharf.runtime.node.NodeListener;
+import org.whinwharf.steward.internal.ActionExecutor;
 import org.whinwharf.steward.internal.EngineClient;
-import org.whinwharf.steward.internal.OrderDesk;
 import org.whinwharf.steward.internal.StewardMetrics;
 import org.whinwharf.wire.message.Role;
 import org.whinwharf.wire.schema.StewardSettings;
 
-/** Daemon that orders the engines whose steward this host is. */
+/** Daemon that sends orders to the engines whose steward is this host. */
 public final class StewardDaemon implements Daemon {
     private static final int RING_SIZE = 1_024;
     private static final long TICK_MILLIS = 50;
@@ -22,29 +22,29 @@
 
     private final Node node;
     private final EngineClient engines;
-    private final OrderDesk desk;
+    private final ActionExecutor executor;
     private final Duty<Runnable> duty;
 
     /**
-     * Makes a steward. Opens no port.
+     * Creates a steward. Opens no ports before {@link #start}.
      *
-     * @param settings checked settings
+     * @param settings validated settings
      */
     public StewardDaemon(StewardSettings settings) {
         node = Node.builder()
                 .settings(settings.getNode())
                 .role(Role.STEWARD)
                 .listWaitMillis(LIST_WAIT_MILLIS)
-                .listener(new Changes())
-                .status(status -> status.addAllEngines(desk().status()))
+                .listener(new NodeChangeListener())
+                .status(status -> status.addAllEngines(executor().status()))
                 .call();
         engines = new EngineClient(settings.getOrderMillis());
         StewardMetrics metrics = new StewardMetrics(node.registry());
-        desk = new OrderDesk(settings, node, engines, metrics, this::hand);
-        metrics.bindStates(() -> desk().status());
+        executor = new ActionExecutor(settings, node, engines, metrics, this::submit);
+        metrics.bindEngineStates(() -> executor().status());
         duty = Duty.<Runnable>builder()
                 .name("orders")
-                .handler(new Handler())
+                .handler(new WorkHandler())
                 .ringSize(RING_SIZE)
                 .tickMillis(TICK_MILLIS)
                 .call();
@@ -60,7 +60,7 @@
     public CompletableFuture<Void> leave() {
         node.leave();
         CompletableFuture<Void> drained = new CompletableFuture<>();
-        hand(() -> desk.leave(drained));
+        submit(() -> executor.leave(drained));
         return drained;
     }
 
@@ -72,23 +72,23 @@
     }
 
     /**
-     * Returns the port of the operators' server.
+     * Returns the port of the admin server. Call it only after {@link #start}.
      *
-     * @return TCP port; call after the start
+     * @return TCP port
      */
     public int adminPort() {
         return node.adminPort();
     }
 
-    private OrderDesk desk() {
-        return desk;
+    private ActionExecutor executor() {
+        return executor;
     }
 
-    private void hand(Runnable work) {
+    private void submit(Runnable work) {
         duty.offer(work);
     }
 
-    private final class Handler implements DutyHandler<Runnable> {
+    private final class WorkHandler implements DutyHandler<Runnable> {
         @Override
         public void handle(Runnable work) {
             work.run();
@@ -96,19 +96,19 @@
 
         @Override
         public void tick() {
-            desk.tick();
+            executor.tick();
         }
     }
 
-    private final class Changes implements NodeListener {
+    private final class NodeChangeListener implements NodeListener {
         @Override
         public void documentChanged(DocumentView document) {
-            hand(desk()::update);
+            submit(executor()::update);
         }
 
         @Override
         public void membershipChanged(Membership membership) {
-            hand(desk()::update);
+            submit(executor()::update);
         }
     }
 }
--- a/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/EngineClient.java
+++ b/org.whinwharf.steward/src/main/java/org/whinwharf/steward/internal/EngineClient.java
@@ -21,36 +21,36 @@
 import org.whinwharf.wire.schema.Host;
 import reactor.core.publisher.Mono;
 
-/** HTTP client of engines. Answers come on network threads. */
+/** HTTP client of the engines. Callbacks run on network threads. */
 public final class EngineClient implements Service {
     private static final Duration READ_TIMEOUT = Duration.ofSeconds(3);
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
-    private static final String LINGER = "SO_LINGER";
+    private static final String SO_LINGER = "SO_LINGER";
 
     private final HttpClient client;
     private final Duration orderTimeout;
 
     /**
-     * Makes a client. Opens no connection.
+     * Creates a client. Opens no connections.
      *
-     * @param orderMillis longest that an order may take
+     * @param orderTimeoutMillis longest time that an order takes, in milliseconds
      */
-    public EngineClient(long orderMillis) {
+    public EngineClient(long orderTimeoutMillis) {
         DefaultHttpClientConfiguration configuration = new DefaultHttpClientConfiguration();
         configuration.setConnectTimeout(CONNECT_TIMEOUT);
-        configuration.setReadTimeout(Duration.ofMillis(Math.max(orderMillis, READ_TIMEOUT.toMillis())));
+        configuration.setReadTimeout(Duration.ofMillis(Math.max(orderTimeoutMillis, READ_TIMEOUT.toMillis())));
         configuration.setNumOfThreads(1);
-        // With a linger of 0 a closed connection drops what was not sent yet. Otherwise the system would go on sending
-        // an
-        // order that was given up, and an engine that ignores fencing numbers could carry it out much later.
-        configuration.setChannelOptions(Map.of(LINGER, 0));
+        // With a linger time of 0, closing a connection discards its unsent data. Otherwise the operating system would
+        // still send an order that has timed out, and an engine that ignores fencing numbers could execute it much
+        // later.
+        configuration.setChannelOptions(Map.of(SO_LINGER, 0));
         client = HttpClient.create(null, configuration);
-        orderTimeout = Duration.ofMillis(orderMillis);
+        orderTimeout = Duration.ofMillis(orderTimeoutMillis);
     }
 
     @Override
     public void start() {
-        // Connections are opened by the first call.
+        // The client opens connections on demand.
     }
 
     @Override
@@ -66,23 +66,23 @@
                 .subscribe(state -> listener.accept(state, ""), failure -> listener.accept(null, reason(failure)));
     }
 
-    void order(Host target, EngineOrder order, Consumer<OrderAnswer> listener) {
+    void sendOrder(Host target, EngineOrder order, Consumer<OrderResult> listener) {
         HttpRequest<?> request = HttpRequest.POST(url(target) + "/v1/orders", SchemaWriter.compact(order))
                 .contentType(MediaType.APPLICATION_JSON_TYPE);
         Mono.from(client.exchange(request, String.class))
                 .timeout(orderTimeout)
-                .map(response -> new OrderAnswer(OrderOutcome.ACCEPTED, response.code(), ""))
-                .onErrorResume(failure -> Mono.just(failed(failure)))
+                .map(response -> new OrderResult(OrderOutcome.ACCEPTED, response.code(), ""))
+                .onErrorResume(failure -> Mono.just(toFailedResult(failure)))
                 .subscribe(listener);
     }
 
-    private static OrderAnswer failed(Throwable failure) {
-        if (failure instanceof HttpClientResponseException answered) {
-            boolean fenced = answered.code() == HttpStatus.CONFLICT.getCode();
+    private static OrderResult toFailedResult(Throwable failure) {
+        if (failure instanceof HttpClientResponseException response) {
+            boolean fenced = response.code() == HttpStatus.CONFLICT.getCode();
             OrderOutcome outcome = fenced ? OrderOutcome.FENCED : OrderOutcome.REFUSED;
-            return new OrderAnswer(outcome, answered.code(), reason(failure));
+            return new OrderResult(outcome, response.code(), reason(failure));
         }
-        return new OrderAnswer(OrderOutcome.UNKNOWN, 0, reason(failure));
+        return new OrderResult(OrderOutcome.UNKNOWN, 0, reason(failure));
     }
 
     private static EngineState parse(HttpResponse<String> response) {
@@ -90,7 +90,7 @@
         try {
             JsonFormat.parser().ignoringUnknownFields().merge(response.getBody().orElse(""), state);
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalArgumentException("not a state: " + e.getMessage(), e);
+            throw new IllegalArgumentException("cannot parse engine state: " + e.getMessage(), e);
         }
         return state.build();
     }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeDriver.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeDriver.java
@@ -19,7 +19,7 @@
 import org.whinwharf.wire.message.SliceId;
 import org.whinwharf.wire.schema.StreamToken;
 
-/** Drives a home by events and a clock, plays its sender, and checks its history after each event. */
+/** Feeds events and a clock to a home, simulates its sender, and checks the resulting actions after each event. */
 final class HomeDriver {
     static final String OWNER_A = "host-a";
     static final String OWNER_B = "host-b";
@@ -30,11 +30,11 @@
     static final Ticket TICKET = new Ticket("home", 7, 1, 2, "orava", 600_000);
 
     final Home home;
-    final List<HomeAction> all = new ArrayList<>();
-    final Map<Long, Integer> finals = new HashMap<>();
-    final Set<Long> out = new HashSet<>();
-    final Set<Long> neverRun = new HashSet<>();
-    final Map<Long, HomeAction.Dispatch> unsent = new HashMap<>();
+    final List<HomeAction> allActions = new ArrayList<>();
+    final Map<Long, Integer> finalAnswers = new HashMap<>();
+    final Set<Long> sentRequests = new HashSet<>();
+    final Set<Long> reportedNotRun = new HashSet<>();
+    final Map<Long, HomeAction.Dispatch> pendingDispatches = new HashMap<>();
     long nowMillis = 1_000;
     View view = new View(Set.of("zone-a", "zone-b"), Set.of("engine-1", "engine-2"));
     private long lastGrant;
@@ -51,14 +51,14 @@
 
     static HomeDriver withOwners() {
         HomeDriver driver = new HomeDriver();
-        driver.on(new HomeEvent.OwnerUp(OWNER_A));
-        driver.on(new HomeEvent.OwnerUp(OWNER_B));
+        driver.on(new HomeEvent.OwnerConnected(OWNER_A));
+        driver.on(new HomeEvent.OwnerConnected(OWNER_B));
         return driver;
     }
 
     List<HomeAction> on(HomeEvent event) {
         List<HomeAction> actions = home.handle(event, nowMillis);
-        all.addAll(actions);
+        allActions.addAll(actions);
         actions.forEach(this::check);
         return actions;
     }
@@ -97,27 +97,29 @@
         return on(new HomeEvent.Refused(owner, refusal));
     }
 
-    /** Does what the sending thread does with a dispatch: asks the gate by its own clock, then tells the home. */
+    /** Simulates the sending thread: checks the gate of a pending dispatch, then reports the result to the home. */
     List<HomeAction> runSender(long sequence) {
-        HomeAction.Dispatch dispatch = unsent.remove(sequence);
+        HomeAction.Dispatch dispatch = pendingDispatches.remove(sequence);
         if (dispatch == null) {
             return List.of();
         }
         if (!dispatch.gate().trySend(nowMillis)) {
             return on(new HomeEvent.NotSent(sequence));
         }
-        check(out.add(sequence), "request " + sequence + " left twice");
-        check(!neverRun.contains(sequence), "request " + sequence + " left after not run was said of it");
+        check(sentRequests.add(sequence), "request " + sequence + " was sent twice");
+        check(
+                !reportedNotRun.contains(sequence),
+                "request " + sequence + " was sent after its caller was told \"not run\"");
         return on(new HomeEvent.Sent(sequence));
     }
 
     List<HomeAction> connectFails(long sequence) {
-        out.remove(sequence);
+        sentRequests.remove(sequence);
         return on(new HomeEvent.ConnectFailed(sequence));
     }
 
     List<HomeAction> targetRefuses(long sequence) {
-        out.remove(sequence);
+        sentRequests.remove(sequence);
         return on(new HomeEvent.TargetRefused(sequence));
     }
 
@@ -127,10 +129,10 @@
                 .setText("t" + index)
                 .setLast(last)
                 .build();
-        return on(new HomeEvent.TokenArrived(sequence, token));
+        return on(new HomeEvent.TokenReceived(sequence, token));
     }
 
-    /** Submits as caller 1, has the grant come, and sends. */
+    /** Submits a request as caller 1, grants it and sends it. */
     HomeDriver sent(Submission submission) {
         submit(1, submission);
         grant(1, queuedAt(1), nowMillis);
@@ -138,26 +140,26 @@
         return this;
     }
 
-    /** Returns the owner that was asked last for a request. */
+    /** Returns the owner at which a request was queued last; empty when it was not queued. */
     String queuedAt(long sequence) {
         String owner = "";
-        for (HomeAction.TellOwner told : find(HomeAction.TellOwner.class)) {
-            if (told.frame().hasEnqueue() && told.frame().getEnqueue().getRequest() == sequence) {
-                owner = told.owner();
+        for (HomeAction.SendToOwner action : find(HomeAction.SendToOwner.class)) {
+            if (action.frame().hasEnqueue() && action.frame().getEnqueue().getRequest() == sequence) {
+                owner = action.owner();
             }
         }
         return owner;
     }
 
     <T extends HomeAction> List<T> find(Class<T> type) {
-        return of(all, type).toList();
+        return of(allActions, type).toList();
     }
 
     static <T extends HomeAction> Stream<T> of(List<HomeAction> actions, Class<T> type) {
         return actions.stream().filter(type::isInstance).map(type::cast);
     }
 
-    /** Returns the wire name of the last error told to a caller; empty when there was none. */
+    /** Returns the wire name of the last error sent to a caller; empty when there was none. */
     String errorOf(long caller) {
         Optional<HomeAction.AnswerError> error = find(HomeAction.AnswerError.class).stream()
                 .filter(action -> action.caller() == caller)
@@ -167,9 +169,9 @@
     }
 
     List<Finished> finished() {
-        return find(HomeAction.TellOwner.class).stream()
-                .filter(told -> told.frame().hasFinished())
-                .map(told -> told.frame().getFinished())
+        return find(HomeAction.SendToOwner.class).stream()
+                .filter(action -> action.frame().hasFinished())
+                .map(action -> action.frame().getFinished())
                 .toList();
     }
 
@@ -209,38 +211,40 @@
 
     private void check(HomeAction action) {
         if (action instanceof HomeAction.Dispatch dispatch) {
-            unsent.put(dispatch.sequence(), dispatch);
+            pendingDispatches.put(dispatch.sequence(), dispatch);
         } else if (action instanceof HomeAction.AnswerError error) {
-            last(error.caller());
-            checkTruth(error);
+            recordFinalAnswer(error.caller());
+            checkNotRunIsTrue(error);
         } else if (action instanceof HomeAction.AnswerEnd end) {
-            last(end.caller());
+            recordFinalAnswer(end.caller());
         } else if (action instanceof HomeAction.AnswerBody body) {
-            last(body.caller());
-        } else if (action instanceof HomeAction.AnswerKept kept) {
-            last(kept.caller());
+            recordFinalAnswer(body.caller());
+        } else if (action instanceof HomeAction.ReplayAnswer kept) {
+            recordFinalAnswer(kept.caller());
         } else if (action instanceof HomeAction.AnswerState state) {
-            last(state.caller());
+            recordFinalAnswer(state.caller());
         }
     }
 
-    private void checkTruth(HomeAction.AnswerError error) {
+    private void checkNotRunIsTrue(HomeAction.AnswerError error) {
         String name = error.outcome().error().orElseThrow().wireName();
         boolean aboutThisRequest = error.sequence() > 0 && !name.equals("number-reused");
         if (aboutThisRequest && error.outcome().ran() == Ran.NOT_RUN) {
-            check(!out.contains(error.sequence()), "not run was said of " + error.sequence() + ", which left: " + name);
-            neverRun.add(error.sequence());
+            check(
+                    !sentRequests.contains(error.sequence()),
+                    "caller was told \"not run\" of " + error.sequence() + ", which was sent: " + name);
+            reportedNotRun.add(error.sequence());
         }
     }
 
-    private void last(long caller) {
-        int count = finals.merge(caller, 1, Integer::sum);
-        check(count == 1, "caller " + caller + " got " + count + " last answers");
+    private void recordFinalAnswer(long caller) {
+        int count = finalAnswers.merge(caller, 1, Integer::sum);
+        check(count == 1, "caller " + caller + " got " + count + " final answers");
     }
 
-    private static void check(boolean holds, String what) {
-        if (!holds) {
-            throw new AssertionError(what);
+    private static void check(boolean condition, String message) {
+        if (!condition) {
+            throw new AssertionError(message);
         }
     }
 
@@ -251,7 +255,7 @@
                 .build();
     }
 
-    /** What is in force, as the test sets it. */
+    /** View of the document and the host list, as the test sets it. */
     record View(Set<String> inService, Set<String> usable) implements HomeView {
         @Override
         public boolean isInService(String dataCentre) {
--- a/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/home/HomeTest.java
@@ -35,8 +35,8 @@
         assertThat(driver.home.liveCount(), is(0));
     }
 
-    // The process is paused while the request waits and wakes after the deadline. The grant that lies in the socket
-    // looks good to the owner. The caller was promised an end by then; a late run would be work for nobody.
+    // The process is paused while the request waits and resumes after the deadline. The grant in the socket buffer is
+    // still valid for the owner. Running the request now would be wasted work, because its caller no longer waits.
     @Test
     void grantReadAfterTheDeadlineIsReturnedAndTheRequestIsNotRun() {
         driver.submit(1, request);
@@ -47,8 +47,8 @@
         assertThat(driver.errorOf(1), is("deadline-waiting"));
     }
 
-    // The process is paused and reads a grant after it ran out. The owner has given the slot to another by then, so a
-    // target that can bear one request would get two.
+    // The process is paused and reads a grant after it expired. The owner has given the slot to another request by
+    // then, so a target with capacity for one request would receive two.
     @Test
     void grantReadTooLateIsReturnedAndTheRequestQueuesAnew() {
         driver.submit(1, request);
@@ -60,35 +60,35 @@
         assertThat(enqueues(), is(2L));
     }
 
-    // The pause falls between the decision to send and the sending. The sender's own look at the clock keeps the
-    // request back; without it the request would leave on a grant that ran out.
+    // The process is paused between the decision to dispatch and the sending. The sender checks the clock at the gate;
+    // without that check the request would be sent on an expired grant.
     @Test
-    void pauseBeforeTheSendingKeepsTheRequestBack() {
+    void pauseBeforeSendingPreventsTheDispatch() {
         driver.submit(1, request);
         driver.grant(1, driver.queuedAt(1), driver.nowMillis);
         driver.nowMillis += HomeDriver.GRANT_MILLIS;
         driver.runSender(1);
-        assertThat(driver.out, is(empty()));
+        assertThat(driver.sentRequests, is(empty()));
         assertThat(enqueues(), is(2L));
         driver.grant(1, driver.queuedAt(1), driver.nowMillis);
         driver.runSender(1);
-        assertThat(driver.out, is(Set.of(1L)));
+        assertThat(driver.sentRequests, is(Set.of(1L)));
     }
 
-    // The deadline passes while the request sits between the decision and the sender. Whichever comes first decides:
-    // here the sender was past the gate, so the caller must not be told "not run".
+    // The deadline passes between the decision to dispatch and the sending. The first to use the gate decides: here
+    // the sender has passed it, so the caller must not be told "not run".
     @Test
     void deadlineAfterTheGateIsAnsweredAsRan() {
         driver.submit(1, request);
         driver.grant(1, driver.queuedAt(1), driver.nowMillis);
-        driver.unsent.get(1L).gate().trySend(driver.nowMillis);
+        driver.pendingDispatches.get(1L).gate().trySend(driver.nowMillis);
         driver.at(driver.nowMillis + HomeDriver.DEADLINE_MILLIS, new HomeEvent.Ticked());
         assertThat(driver.errorOf(1), is("deadline-running"));
         assertThat(driver.find(HomeAction.CancelAtTarget.class), hasSize(1));
     }
 
-    // The deadline passes while the target works. Its work is cancelled and the slot given back; otherwise the engine
-    // would go on for a caller that has left.
+    // The deadline passes while the target executes the request. The request is cancelled there and the slot released;
+    // otherwise the engine would continue for a caller that no longer waits.
     @Test
     void deadlineWhileRunningCancelsAtTheTarget() {
         driver.sent(request);
@@ -99,8 +99,8 @@
         assertThat(last(driver.finished()).getKind(), is(FinishKind.CANCELLED));
     }
 
-    // The link to the target breaks in the middle of an answer. The stream is taken up where it broke; a second
-    // dispatch would run the request twice. Tokens of the old connection come late and are given once.
+    // The connection to the target breaks in the middle of an answer. The stream is resumed where it broke, because a
+    // second dispatch would run the request twice. Late tokens of the old connection are delivered only once.
     @Test
     void brokenStreamIsResumedFromTheLastTokenAndNeverSentAgain() {
         driver.sent(request);
@@ -126,7 +126,7 @@
         assertThat(driver.errorOf(1), is("target-lost"));
     }
 
-    // A target was restarted and does not know the stream. What became of the request nobody can say.
+    // A target was restarted and does not know the stream, so the outcome of the request is unknown.
     @Test
     void streamUnknownAtTheTargetIsLost() {
         driver.sent(request);
@@ -145,9 +145,9 @@
         assertThat(driver.find(HomeAction.Dispatch.class), hasSize(1));
     }
 
-    // A target that died refuses the connection. No byte left, so another target may get the request.
+    // A failed target refuses the connection. No byte was sent, so another target may receive the request.
     @Test
-    void refusedConnectionIsNoDispatch() {
+    void refusedConnectionAllowsAnotherDispatch() {
         driver.sent(request);
         driver.connectFails(1);
         driver.grant(1, driver.queuedAt(1), driver.nowMillis);
@@ -156,9 +156,9 @@
         assertThat(driver.textOf(1), is("t0"));
     }
 
-    // Many targets die at once. Requests that queue anew at once, again and again, would make a storm of messages.
-    // Beyond
-    // the budget each waits a while first; none is turned away, since lower tiers may be kept elsewhere.
+    // Many targets fail at once. Requests that are queued again immediately and repeatedly would cause a storm of
+    // messages. Beyond the retry budget each request is delayed first; none is rejected, because other owners may
+    // still serve lower tiers.
     @Test
     void refusedConnectionsBeyondTheBudgetWaitBeforeTheyQueueAnew() {
         driver.sent(request);
@@ -181,26 +181,26 @@
         Recall recall = Recall.newBuilder().setRequest(1).setGrant(1).build();
         driver.on(new HomeEvent.Recalled(HomeDriver.OWNER_A, recall));
         driver.runSender(1);
-        assertThat(driver.out, is(empty()));
+        assertThat(driver.sentRequests, is(empty()));
         assertThat(enqueues(), is(2L));
     }
 
-    // A target starts to leave, or its data centre is taken out, between the grant and the sending. It must not get
-    // new work, so the grant goes back.
+    // A target starts to leave, or its data centre is taken out of service, between the grant and the sending. It must
+    // not receive new requests, so the grant is returned.
     @Test
-    void targetThatLeavesAfterTheGrantGetsNothing() {
+    void targetThatLeavesAfterTheGrantReceivesNoRequest() {
         driver.submit(1, request);
         driver.grant(1, HomeDriver.OWNER_A, driver.nowMillis);
         driver.on(new HomeEvent.ViewChanged(new HomeDriver.View(Set.of("zone-a", "zone-b"), Set.of("engine-2"))));
         driver.runSender(1);
-        assertThat(driver.out, is(empty()));
+        assertThat(driver.sentRequests, is(empty()));
         assertThat(last(driver.finished()).getKind(), is(FinishKind.UNUSED));
     }
 
-    // Operators take this home's own data centre out. What waits goes on at targets elsewhere; fresh requests are told
-    // at once to use another host.
+    // Operators take the home's own data centre out of service. Queued requests move to targets elsewhere; new
+    // requests are rejected at once, so that their callers use another host.
     @Test
-    void dataCentreOutMovesWhatWaitsAndTurnsFreshRequestsAway() {
+    void dataCentreOutOfServiceMovesQueuedRequestsAndRejectsNewOnes() {
         driver.submit(1, request);
         assertThat(driver.queuedAt(1), is(HomeDriver.OWNER_A));
         driver.on(new HomeEvent.ViewChanged(new HomeDriver.View(Set.of("zone-b"), Set.of("engine-2"))));
@@ -213,19 +213,19 @@
         assertThat(driver.textOf(1), is("t0"));
     }
 
-    // The owner of a slice dies while requests wait there. They queue at another owner, which also hears what this
-    // home has in flight at its targets; otherwise it would grant slots that are taken.
+    // The owner of a slice fails while requests wait there. They are queued at another owner. An owner that returns
+    // receives the list of requests in flight at its targets; otherwise it would grant slots that are occupied.
     @Test
-    void requestsOfADeadOwnerQueueElsewhereAndTheReturningOwnerHearsWhatIsInFlight() {
+    void requestsOfADeadOwnerQueueElsewhereAndTheReturningOwnerReceivesTheInFlightList() {
         driver.sent(request);
         driver.submit(2, request);
-        driver.on(new HomeEvent.OwnerDown(HomeDriver.OWNER_A));
+        driver.on(new HomeEvent.OwnerDisconnected(HomeDriver.OWNER_A));
         assertThat(driver.queuedAt(2), is(HomeDriver.OWNER_B));
-        driver.on(new HomeEvent.OwnerUp(HomeDriver.OWNER_A));
+        driver.on(new HomeEvent.OwnerConnected(HomeDriver.OWNER_A));
         driver.submit(3, request);
         assertThat(driver.queuedAt(3), is(HomeDriver.OWNER_A));
-        List<HomeAction.TellOwner> told = driver.find(HomeAction.TellOwner.class);
-        List<InFlight> inFlight = told.get(told.size() - 1).frame().getEnqueue().getInFlightList();
+        List<HomeAction.SendToOwner> sent = driver.find(HomeAction.SendToOwner.class);
+        List<InFlight> inFlight = sent.get(sent.size() - 1).frame().getEnqueue().getInFlightList();
         assertThat(
                 inFlight,
                 is(List.of(InFlight.newBuilder()
@@ -234,26 +234,26 @@
                         .build())));
     }
 
-    // A scheduler is stopped as planned while requests run. The next owner has been told of them, but the view still
-    // names the old one first when they end. Were the next owner not told of their end, it would hold their places for
-    // ever, and callers would wait at idle targets until their deadlines.
+    // A scheduler stops as planned while requests run. The next owner has received them as in flight, but the view
+    // still names the old owner first when they end. Without the message about their end the next owner would count
+    // their slots as occupied for ever, and requests would wait until their deadlines while targets are idle.
     @Test
-    void ownerThatWasToldWhatIsInFlightIsToldItsEndWhateverTheViewSays() {
+    void ownerThatCountsARequestInFlightReceivesItsEndWhateverTheViewNames() {
         driver.sent(request);
         driver.submit(2, request);
         driver.refuse(2, HomeDriver.OWNER_A, RefusalReason.OWNER_LEAVING);
         assertThat(driver.queuedAt(2), is(HomeDriver.OWNER_B));
         driver.token(1, 0, true);
-        List<String> told = driver.find(HomeAction.TellOwner.class).stream()
+        List<String> sent = driver.find(HomeAction.SendToOwner.class).stream()
                 .filter(action -> action.frame().hasFinished())
-                .map(HomeAction.TellOwner::owner)
+                .map(HomeAction.SendToOwner::owner)
                 .toList();
-        assertThat(told, is(List.of(HomeDriver.OWNER_A, HomeDriver.OWNER_B)));
+        assertThat(sent, is(List.of(HomeDriver.OWNER_A, HomeDriver.OWNER_B)));
     }
 
     @Test
     void ownerWithoutPledgesIsAskedAgainShortly() {
-        driver.on(new HomeEvent.OwnerDown(HomeDriver.OWNER_B));
+        driver.on(new HomeEvent.OwnerDisconnected(HomeDriver.OWNER_B));
         driver.submit(1, request);
         driver.refuse(1, HomeDriver.OWNER_A, RefusalReason.NOT_OWNER);
         assertThat(enqueues(), is(1L));
@@ -261,14 +261,14 @@
         assertThat(enqueues(), is(2L));
     }
 
-    // All engines of a data centre die. Their owner takes requests and grants none, for longer than callers wait, while
-    // engines elsewhere have room.
+    // All engines of a data centre fail. Their owner queues requests but grants none for longer than callers wait,
+    // while engines elsewhere have free slots.
     @Test
     void requestThatWaitsLongMovesToASliceWithRoomAndFreshOnesFollow() {
         driver.submit(1, request);
         assertThat(driver.queuedAt(1), is(HomeDriver.OWNER_A));
         driver.nowMillis += 500;
-        driver.on(new HomeEvent.StatusHeard(SliceStatus.newBuilder()
+        driver.on(new HomeEvent.StatusReceived(SliceStatus.newBuilder()
                 .setSlice(HomeDriver.SLICE_B)
                 .setFreeSlots(2)
                 .setUsableTargets(1)
@@ -281,8 +281,8 @@
         assertThat(last(driver.finished()).getKind(), is(FinishKind.UNUSED));
     }
 
-    // All slices are full. One serves summaries of a low tier while an inspector's question waits at another until its
-    // deadline has passed, since no owner knows what waits at the others.
+    // All slices are full. One serves requests of a low tier while a request of a high tier waits at another until its
+    // deadline passes, because no owner knows the queues of the others.
     @Test
     void requestThatWaitsLongMovesToASliceThatServesItsTierSooner() {
         driver.submit(1, request);
@@ -290,17 +290,17 @@
         driver.nowMillis += 500;
         driver.on(new HomeEvent.Ticked());
         driver.nowMillis += 500;
-        hearWait(HomeDriver.SLICE_B, 2_000);
+        receiveWait(HomeDriver.SLICE_B, 2_000);
         driver.on(new HomeEvent.Ticked());
         assertThat(driver.queuedAt(1), is(HomeDriver.OWNER_A));
         driver.nowMillis += 500;
-        hearWait(HomeDriver.SLICE_B, 100);
+        receiveWait(HomeDriver.SLICE_B, 100);
         driver.on(new HomeEvent.Ticked());
         assertThat(driver.queuedAt(1), is(HomeDriver.OWNER_B));
     }
 
-    private void hearWait(SliceId slice, long waitMillis) {
-        driver.on(new HomeEvent.StatusHeard(SliceStatus.newBuilder()
+    private void receiveWait(SliceId slice, long waitMillis) {
+        driver.on(new HomeEvent.StatusReceived(SliceStatus.newBuilder()
                 .setSlice(slice)
                 .setWaiting(50)
                 .setUsableTargets(1)
@@ -310,7 +310,7 @@
 
     @Test
     void shedRequestTriesOneOtherSliceWithRoom() {
-        driver.on(new HomeEvent.StatusHeard(SliceStatus.newBuilder()
+        driver.on(new HomeEvent.StatusReceived(SliceStatus.newBuilder()
                 .setSlice(HomeDriver.SLICE_B)
                 .setFreeSlots(1)
                 .setUsableTargets(1)
@@ -325,16 +325,16 @@
     }
 
     @Test
-    void shedRequestWithoutRoomElsewhereIsAnsweredAtOnceWithWhenToComeBack() {
+    void shedRequestWithoutSlotsElsewhereIsRejectedAtOnceWithARetryDelay() {
         driver.submit(1, request);
         driver.refuse(1, driver.queuedAt(1), RefusalReason.SHED);
         HomeAction.AnswerError error = last(driver.find(HomeAction.AnswerError.class));
-        assertThat(error.outcome().comeBackMillis(), is(1_000L));
+        assertThat(error.outcome().retryAfterMillis(), is(1_000L));
         assertThat(error.outcome().ran(), is(Ran.NOT_RUN));
     }
 
-    // A driver's phone loses the answer and sends the booking again while the first is under way. It must join the
-    // first attempt; and after the end it gets the recorded answer.
+    // A caller loses its connection and submits the booking again while the first attempt runs. The repeat must join
+    // the first attempt; after that has ended, a repeat receives the stored answer.
     @Test
     void repeatJoinsTheFirstAttemptOrGetsItsRecordedOutcome() {
         driver.sent(HomeDriver.booking(0).call());
@@ -342,14 +342,14 @@
         driver.on(new HomeEvent.CallAnswered(1, 200, "text/plain", ByteString.copyFromUtf8("booked")));
         driver.submit(3, HomeDriver.booking(0).call());
         assertThat(driver.find(HomeAction.AnswerBody.class), hasSize(2));
-        assertThat(driver.find(HomeAction.AnswerKept.class), hasSize(1));
+        assertThat(driver.find(HomeAction.ReplayAnswer.class), hasSize(1));
         assertThat(driver.find(HomeAction.Dispatch.class), hasSize(1));
     }
 
-    // A host is full and tells a caller "not run". A copy of that booking, delayed on another path, arrives when there
-    // is room again. Its caller believes that it did not run, so it must not run now.
+    // A host that is out of service tells a caller "not run". A copy of that booking, delayed on another path, arrives
+    // when the host accepts requests again. It must not run now, because its caller was told that it did not.
     @Test
-    void numberThatWasTurnedAwayStaysTurnedAway() {
+    void rejectedNumberStaysRejected() {
         driver.on(new HomeEvent.ViewChanged(new HomeDriver.View(Set.of("zone-b"), Set.of("engine-2"))));
         driver.submit(1, HomeDriver.booking(0).call());
         driver.on(new HomeEvent.ViewChanged(driver.view));
@@ -361,7 +361,7 @@
     }
 
     @Test
-    void ticketFaultsAreToldApart() {
+    void eachTicketErrorHasItsOwnKind() {
         driver.submit(1, HomeDriver.booking(0).call());
         driver.submit(2, HomeDriver.booking(0).contentDigest(2).call());
         assertThat(driver.errorOf(2), is("number-reused"));
@@ -377,15 +377,15 @@
     }
 
     @Test
-    void callerThatGoesAwayEndsItsWorkAndGivesTheSlotBack() {
+    void disconnectedCallerCancelsItsRequestAndReleasesTheSlot() {
         driver.sent(request);
-        driver.on(new HomeEvent.CallerGone(1));
+        driver.on(new HomeEvent.CallerDisconnected(1));
         assertThat(driver.find(HomeAction.CancelAtTarget.class), hasSize(1));
         assertThat(last(driver.finished()).getKind(), is(FinishKind.CANCELLED));
     }
 
-    // A ranger's phone drops off the network and comes back within the grace. The work goes on and the answer is
-    // whole; without a return the work is cancelled.
+    // A caller with a ticket loses its connection and rejoins within the grace time. The request continues and the
+    // answer is complete. When the caller does not rejoin, the request is cancelled.
     @Test
     void callerWithTicketMayRejoinWithinTheGrace() {
         Submission numbered = HomeDriver.engineRequest()
@@ -393,31 +393,31 @@
                 .call();
         driver.sent(numbered);
         driver.token(1, 0, false);
-        driver.on(new HomeEvent.CallerGone(1));
+        driver.on(new HomeEvent.CallerDisconnected(1));
         driver.submit(2, numbered);
         driver.at(driver.nowMillis + 5_000, new HomeEvent.Ticked());
         assertThat(driver.find(HomeAction.CancelAtTarget.class), is(empty()));
-        driver.on(new HomeEvent.CallerGone(2));
+        driver.on(new HomeEvent.CallerDisconnected(2));
         driver.at(driver.nowMillis + 2_000, new HomeEvent.Ticked());
         assertThat(driver.find(HomeAction.CancelAtTarget.class), hasSize(1));
         assertThat(driver.textOf(2), is("t0"));
     }
 
-    // The phone that booked goes away for good. The booking is under way and can't be taken back; it runs to its end,
-    // so that the caller can learn what became of it.
+    // The caller of a booking disconnects and does not return. The booking was sent and cannot be revoked; it runs to
+    // completion, so that the caller can query the outcome later.
     @Test
-    void callThatMayNotBeRepeatedRunsOnWithoutItsCaller() {
+    void nonIdempotentCallCompletesWithoutItsCaller() {
         driver.sent(HomeDriver.booking(0).call());
-        driver.on(new HomeEvent.CallerGone(1));
+        driver.on(new HomeEvent.CallerDisconnected(1));
         driver.at(driver.nowMillis + 5_000, new HomeEvent.Ticked());
         assertThat(driver.find(HomeAction.CancelAtTarget.class), is(empty()));
         driver.on(new HomeEvent.CallAnswered(1, 200, "text/plain", ByteString.EMPTY));
         driver.submit(2, HomeDriver.booking(0).call());
-        assertThat(driver.find(HomeAction.AnswerKept.class), hasSize(1));
+        assertThat(driver.find(HomeAction.ReplayAnswer.class), hasSize(1));
     }
 
     @Test
-    void slowCallerIsGivenUp() {
+    void slowCallerIsDisconnected() {
         driver.sent(request);
         driver.token(1, 0, false);
         driver.on(new HomeEvent.CallerSlow(1));
@@ -426,10 +426,10 @@
     }
 
     @Test
-    void plannedStopTurnsFreshRequestsAwayAndFinishesTheRest() {
+    void plannedStopRejectsNewRequestsAndCompletesTheRest() {
         driver.sent(request);
         driver.submit(2, request);
-        driver.on(new HomeEvent.StopAsked());
+        driver.on(new HomeEvent.StopRequested());
         driver.submit(3, request);
         assertThat(driver.errorOf(3), is("host-leaving"));
         driver.grant(2, driver.queuedAt(2), driver.nowMillis);
@@ -441,7 +441,7 @@
     }
 
     @Test
-    void hostHoldsNoMoreRequestsThanItsBound() {
+    void hostHoldsNoMoreRequestsThanItsLimit() {
         for (int caller = 1; caller <= 21; caller++) {
             driver.submit(caller, request);
         }
@@ -449,11 +449,10 @@
         assertThat(driver.errorOf(20), is(not("host-full")));
     }
 
-    // A host is full of school requests that wait, and a ranger's check-in comes. The lowest tier that waits makes
-    // room;
-    // what is under way goes on.
+    // A host is full of waiting requests of low tiers when a request of a higher tier arrives. A waiting request of
+    // the lowest tier is shed for it; requests that were sent continue.
     @Test
-    void fullHostShedsTheLowestTierThatWaits() {
+    void fullHostShedsTheLowestWaitingTier() {
         driver.sent(HomeDriver.engineRequest().tierRank(1).call());
         for (int caller = 2; caller <= 20; caller++) {
             driver.submit(
@@ -472,8 +471,8 @@
     }
 
     private long enqueues() {
-        return driver.find(HomeAction.TellOwner.class).stream()
-                .filter(told -> told.frame().hasEnqueue())
+        return driver.find(HomeAction.SendToOwner.class).stream()
+                .filter(action -> action.frame().hasEnqueue())
                 .count();
     }
 
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/Fixtures.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/Fixtures.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.List;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.queue.Waiting;
+import org.whinwharf.owner.queue.WaitingRequest;
 import org.whinwharf.wire.message.SliceId;
 import org.whinwharf.wire.schema.DataCentre;
 import org.whinwharf.wire.schema.Document;
@@ -17,7 +17,7 @@
 import org.whinwharf.wire.schema.Tier;
 import org.whinwharf.wire.schema.Timing;
 
-/** A small fleet: one service in one data centre. */
+/** Builds the document and the membership of a small fleet with one service. */
 final class Fixtures {
     static final String SERVICE = "llm";
     static final SliceId SLICE =
@@ -26,9 +26,9 @@
 
     private Fixtures() {}
 
-    static Waiting waiting(long request, int rank, String organisation, int answerTokens, long arrivedAtMillis) {
-        return new Waiting(
-                new HomeId("h0", 1),
+    static WaitingRequest waiting(long request, int rank, String organisation, int answerTokens, long arrivedAtMillis) {
+        return new WaitingRequest(
+                new ProcessId("h0", 1),
                 request,
                 rank,
                 organisation,
@@ -41,7 +41,7 @@
                 arrivedAtMillis);
     }
 
-    static Document document(int most, int maxWaiting) {
+    static Document document(int maxLimit, int maxWaiting) {
         return Document.newBuilder()
                 .setGeneration(1)
                 .addDataCentres(DataCentre.newBuilder().setName("a").setRegion("r"))
@@ -52,7 +52,8 @@
                 .addServices(ServiceSpec.newBuilder()
                         .setName(SERVICE)
                         .setMaxWaiting(maxWaiting)
-                        .setLimits(Limits.newBuilder().setCold(1).setMost(most).setSlowFactor(2)))
+                        .setLimits(
+                                Limits.newBuilder().setCold(1).setMost(maxLimit).setSlowFactor(2)))
                 .setTiming(Timing.newBuilder()
                         .setGrantMillis(TIMINGS.grantMillis())
                         .setPledgeMillis(TIMINGS.pledgeMillis())
@@ -64,12 +65,12 @@
     }
 
     static Document outOfService(Document document) {
-        Document.Builder out = document.toBuilder().setGeneration(document.getGeneration() + 1);
-        out.getDataCentresBuilder(0).setInService(false);
-        return out.build();
+        Document.Builder changed = document.toBuilder().setGeneration(document.getGeneration() + 1);
+        changed.getDataCentresBuilder(0).setInService(false);
+        return changed.build();
     }
 
-    /** Hosts whose names begin with b stand in data centre b, all others in data centre a. */
+    /** Creates a view in which hosts whose names begin with b are in data centre b, all others in data centre a. */
     static Membership membership(long revision, Document document, Collection<String> hosts, List<String> targets) {
         HostList.Builder list = HostList.newBuilder().setRevision(revision);
         for (String host : hosts) {
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/FleetModel.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/FleetModel.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.placement.Placement;
+import org.whinwharf.owner.placement.PlacementStrategy;
 import org.whinwharf.wire.message.Enqueue;
 import org.whinwharf.wire.message.FinishKind;
 import org.whinwharf.wire.message.Finished;
@@ -21,7 +21,7 @@
 import org.whinwharf.wire.message.Refusal;
 import org.whinwharf.wire.schema.Document;
 
-/** Schedulers, homes and targets joined by links that delay, on one clock that the test drives. */
+/** Simulates schedulers, homes and targets that are connected by links with delays, on a clock driven by the test. */
 final class FleetModel {
     static final int SCHEDULERS = 4;
     static final int HOMES = 2;
@@ -30,7 +30,7 @@
     private static final long TICK_MILLIS = 50;
     private static final long POLL_MILLIS = 250;
     private static final long DOWN_MILLIS = 2_000;
-    private static final int PARTS = 1_000_000;
+    private static final int PARTS_PER_MILLION = 1_000_000;
 
     private final Random random;
     private final Document document;
@@ -38,7 +38,7 @@
     private final List<Node> schedulers = new ArrayList<>();
     private final List<Home> homes = new ArrayList<>();
     private final Map<String, ModelTarget> targets = new HashMap<>();
-    private final Set<String> listed = new TreeSet<>();
+    private final Set<String> listedHosts = new TreeSet<>();
     private final Set<Set<String>> cut = new HashSet<>();
     private final Map<List<String>, Long> lastDelivery = new HashMap<>();
     private long nowMillis;
@@ -46,14 +46,14 @@
     private long revision;
     private int completed;
 
-    FleetModel(long seed, int most) {
+    FleetModel(long seed, int maxCapacity) {
         random = new Random(seed);
-        document = Fixtures.document(most, 50);
+        document = Fixtures.document(maxCapacity, 50);
         for (int i = 0; i < TARGETS; i++) {
-            targets.put("t" + i, new ModelTarget(most));
+            targets.put("t" + i, new ModelTarget(maxCapacity));
         }
         for (int i = 0; i < SCHEDULERS; i++) {
-            listed.add("s" + i);
+            listedHosts.add("s" + i);
             schedulers.add(new Node("s" + i));
         }
         for (int i = 0; i < HOMES; i++) {
@@ -71,8 +71,11 @@
         nowMillis = untilMillis;
     }
 
-    int worstOverload() {
-        return targets.values().stream().mapToInt(ModelTarget::worst).max().orElse(0);
+    int maxOverload() {
+        return targets.values().stream()
+                .mapToInt(ModelTarget::maxOverload)
+                .max()
+                .orElse(0);
     }
 
     int completed() {
@@ -108,19 +111,19 @@
         }
     }
 
-    void relist(int scheduler) {
+    void toggleListed(int scheduler) {
         String name = "s" + scheduler;
-        if (!listed.remove(name)) {
-            listed.add(name);
+        if (!listedHosts.remove(name)) {
+            listedHosts.add(name);
         }
-        if (listed.size() < SCHEDULERS - 1) {
-            listed.add(name);
+        if (listedHosts.size() < SCHEDULERS - 1) {
+            listedHosts.add(name);
         }
         publish();
     }
 
     void leave(int scheduler) {
-        schedulers.get(scheduler).event(new Event.Leave());
+        schedulers.get(scheduler).event(new SchedulerEvent.Leave());
         at(nowMillis + DOWN_MILLIS, () -> schedulers.get(scheduler).restart());
     }
 
@@ -128,16 +131,16 @@
         ModelTarget target = targets.get("t" + index % TARGETS);
         if (!target.isDown()) {
             target.crash(nowMillis);
-            at(nowMillis + DOWN_MILLIS, () -> target.startAgain(nowMillis));
+            at(nowMillis + DOWN_MILLIS, () -> target.restart(nowMillis));
         }
     }
 
-    void loseHome(int index) {
-        homes.get(index % HOMES).lose();
+    void restartHome(int index) {
+        homes.get(index % HOMES).restart();
     }
 
     private void publish() {
-        Membership membership = Fixtures.membership(++revision, document, listed, List.of("t0", "t1"));
+        Membership membership = Fixtures.membership(++revision, document, listedHosts, List.of("t0", "t1"));
         for (Node node : schedulers) {
             at(nowMillis + random.nextInt((int) Fixtures.TIMINGS.listLagMillis()), () -> node.view(membership));
         }
@@ -166,7 +169,7 @@
         at(atMillis, action);
     }
 
-    private Home home(HomeId id) {
+    private Home home(ProcessId id) {
         return homes.stream().filter(home -> home.id.equals(id)).findFirst().orElse(null);
     }
 
@@ -178,28 +181,28 @@
         }
     }
 
-    /** A process with a clock of its own that can be frozen. */
+    /** A process with its own clock, which can be frozen. */
     private abstract class Process {
         final String name;
-        HomeId id;
+        ProcessId id;
         long frozenUntilMillis;
         private final long offsetMillis = random.nextInt(100_000);
         private final int ratePpm = random.nextInt(1000) - 500;
 
         Process(String name) {
             this.name = name;
-            this.id = new HomeId(name, 1);
+            this.id = new ProcessId(name, 1);
         }
 
         long clock() {
-            return offsetMillis + nowMillis + nowMillis * ratePpm / PARTS;
+            return offsetMillis + nowMillis + nowMillis * ratePpm / PARTS_PER_MILLION;
         }
 
-        void awake(Runnable action) {
-            HomeId then = id;
+        void runWhenAwake(Runnable action) {
+            ProcessId idAtStart = id;
             if (nowMillis < frozenUntilMillis) {
-                at(frozenUntilMillis + random.nextInt(5), () -> awake(action));
-            } else if (then.equals(id)) {
+                at(frozenUntilMillis + random.nextInt(5), () -> runWhenAwake(action));
+            } else if (idAtStart.equals(id)) {
                 action.run();
             }
         }
@@ -211,27 +214,27 @@
 
         Node(String name) {
             super(name);
-            core = new SchedulerCore(id, Placement.SCORE, clock());
+            core = new SchedulerCore(id, PlacementStrategy.SCORE, clock());
             at(random.nextInt((int) TICK_MILLIS), this::tick);
             at(random.nextInt((int) POLL_MILLIS), this::poll);
-            at(0, this::linkAll);
+            at(0, this::connectAll);
         }
 
         void restart() {
-            id = new HomeId(name, id.incarnation() + 1);
+            id = new ProcessId(name, id.incarnation() + 1);
             frozenUntilMillis = 0;
-            core = new SchedulerCore(id, Placement.SCORE, clock());
+            core = new SchedulerCore(id, PlacementStrategy.SCORE, clock());
             if (membership != null) {
-                event(new Event.Viewed(membership, Rules.of(document)));
+                event(new SchedulerEvent.ConfigurationChanged(membership, SchedulerConfiguration.of(document)));
             }
-            linkAll();
+            connectAll();
         }
 
         void view(Membership newer) {
-            awake(() -> {
+            runWhenAwake(() -> {
                 if (membership == null || newer.revision() > membership.revision()) {
                     membership = newer;
-                    event(new Event.Viewed(newer, Rules.of(document)));
+                    event(new SchedulerEvent.ConfigurationChanged(newer, SchedulerConfiguration.of(document)));
                 }
             });
         }
@@ -239,57 +242,59 @@
         void link(List<String> ends, boolean up) {
             String other = ends.get(0).equals(name) ? ends.get(1) : ends.get(0);
             schedulers.stream().filter(node -> node.name.equals(other)).forEach(node -> {
-                event(up ? new Event.PeerUp(node.id) : new Event.PeerLost(node.id));
+                event(up ? new SchedulerEvent.PeerConnected(node.id) : new SchedulerEvent.PeerDisconnected(node.id));
             });
             if (!up) {
                 homes.stream()
                         .filter(home -> home.name.equals(other))
-                        .forEach(home -> event(new Event.EntryLost(home.id)));
+                        .forEach(home -> event(new SchedulerEvent.EntryDisconnected(home.id)));
             }
         }
 
-        void event(Event event) {
-            HomeId to = id;
-            awake(() -> {
+        void event(SchedulerEvent event) {
+            ProcessId to = id;
+            runWhenAwake(() -> {
                 if (to.equals(id)) {
-                    core.handle(event, clock()).forEach(this::act);
+                    core.handle(event, clock()).forEach(this::perform);
                 }
             });
         }
 
-        private void linkAll() {
-            schedulers.stream().filter(node -> node != this).forEach(node -> event(new Event.PeerUp(node.id)));
+        private void connectAll() {
+            schedulers.stream()
+                    .filter(node -> node != this)
+                    .forEach(node -> event(new SchedulerEvent.PeerConnected(node.id)));
         }
 
         private void tick() {
-            event(new Event.Tick());
+            event(new SchedulerEvent.Tick());
             at(nowMillis + TICK_MILLIS, this::tick);
         }
 
         private void poll() {
             targets.forEach((target, model) -> {
-                long askedAtMillis = clock();
+                long requestedAtMillis = clock();
                 event(
                         model.isDown()
-                                ? new Event.LoadFailed(target)
-                                : new Event.LoadRead(
+                                ? new SchedulerEvent.LoadRequestFailed(target)
+                                : new SchedulerEvent.LoadReceived(
                                         target,
                                         model.load(random.nextInt((int) Fixtures.TIMINGS.loadLagMillis()), nowMillis),
-                                        askedAtMillis));
+                                        requestedAtMillis));
             });
             at(nowMillis + POLL_MILLIS, this::poll);
         }
 
-        private void act(Action action) {
-            if (action instanceof Action.ToPeer send) {
-                HomeId from = id;
+        private void perform(SchedulerAction action) {
+            if (action instanceof SchedulerAction.SendToPeer send) {
+                ProcessId from = id;
                 schedulers.stream()
                         .filter(node -> node.name.equals(send.host()))
-                        .forEach(node ->
-                                deliver(name, node.name, () -> node.event(new Event.FromPeer(from, send.frame()))));
-            } else if (action instanceof Action.ToEntry send && home(send.home()) != null) {
+                        .forEach(node -> deliver(
+                                name, node.name, () -> node.event(new SchedulerEvent.PeerFrame(from, send.frame()))));
+            } else if (action instanceof SchedulerAction.SendToEntry send && home(send.home()) != null) {
                 Home home = home(send.home());
-                deliver(name, home.name, () -> home.awake(() -> home.received(this, send.frame())));
+                deliver(name, home.name, () -> home.runWhenAwake(() -> home.received(this, send.frame())));
             }
         }
     }
@@ -301,25 +306,25 @@
         Home(String name) {
             super(name);
             at(random.nextInt(100), this::arrive);
-            at(random.nextInt(100), this::beat);
+            at(random.nextInt(100), this::sendHeartbeat);
         }
 
-        /** Dies with its requests; what it had sent goes on at the targets. */
-        void lose() {
-            HomeId old = id;
-            id = new HomeId(name, old.incarnation() + 1);
+        /** Restarts and loses its requests, which continue to run at the targets. */
+        void restart() {
+            ProcessId old = id;
+            id = new ProcessId(name, old.incarnation() + 1);
             inFlight.clear();
-            schedulers.forEach(node -> node.event(new Event.EntryLost(old)));
+            schedulers.forEach(node -> node.event(new SchedulerEvent.EntryDisconnected(old)));
         }
 
-        private void beat() {
-            awake(() -> schedulers.forEach(node -> send(
+        private void sendHeartbeat() {
+            runWhenAwake(() -> schedulers.forEach(node -> send(
                     node, Frame.newBuilder().setHeartbeat(Heartbeat.newBuilder().setSentAtMillis(clock())))));
-            at(nowMillis + 100, this::beat);
+            at(nowMillis + 100, this::sendHeartbeat);
         }
 
         private void arrive() {
-            awake(() -> enqueue(nextRequest++, random.nextInt(SCHEDULERS)));
+            runWhenAwake(() -> enqueue(nextRequest++, random.nextInt(SCHEDULERS)));
             at(nowMillis + 10 + random.nextInt(30), this::arrive);
         }
 
@@ -342,30 +347,30 @@
         void received(Node from, Frame frame) {
             switch (frame.getBodyCase()) {
                 case GRANT -> {
-                    // Some homes use a grant only just before it runs out.
-                    long laterMillis = random.nextInt(3) == 0 ? random.nextInt(600) : 0;
-                    HomeId then = id;
+                    // Some homes use a grant only shortly before it expires.
+                    long delayMillis = random.nextInt(3) == 0 ? random.nextInt(600) : 0;
+                    ProcessId idAtStart = id;
                     at(
-                            nowMillis + laterMillis,
-                            () -> awake(() -> {
-                                if (then.equals(id)) {
+                            nowMillis + delayMillis,
+                            () -> runWhenAwake(() -> {
+                                if (idAtStart.equals(id)) {
                                     granted(from, frame.getGrant());
                                 }
                             }));
                 }
                 case REFUSAL -> refused(frame.getRefusal());
                 default -> {
-                    // The home of the model ignores recalls, as one that has just sent its request would.
+                    // The simulated home ignores recalls, like a home that has already sent its request.
                 }
             }
         }
 
         private void refused(Refusal refusal) {
-            HomeId then = id;
+            ProcessId idAtStart = id;
             at(
                     nowMillis + 100,
-                    () -> awake(() -> {
-                        if (then.equals(id)) {
+                    () -> runWhenAwake(() -> {
+                        if (idAtStart.equals(id)) {
                             enqueue(refusal.getRequest(), random.nextInt(SCHEDULERS));
                         }
                     }));
@@ -376,11 +381,11 @@
                 finished(from, grant, FinishKind.UNUSED, 0);
                 return;
             }
-            HomeId then = id;
+            ProcessId idAtStart = id;
             long sentAtMillis = nowMillis;
             ModelTarget target = targets.get(grant.getTarget());
             Runnable failed = () -> {
-                if (then.equals(id)) {
+                if (idAtStart.equals(id)) {
                     inFlight.remove(grant.getRequest());
                     finished(from, grant, FinishKind.FAILED, nowMillis - sentAtMillis);
                 }
@@ -392,7 +397,7 @@
             inFlight.put(grant.getRequest(), grant.getTarget());
             long ranMillis = random.nextInt(10) == 0 ? 3_000 : 20 + random.nextInt(300);
             at(nowMillis + ranMillis, () -> {
-                if (target.end(failed, nowMillis) && then.equals(id)) {
+                if (target.end(failed, nowMillis) && idAtStart.equals(id)) {
                     completed++;
                     inFlight.remove(grant.getRequest());
                     finished(from, grant, FinishKind.COMPLETED, ranMillis);
@@ -413,12 +418,12 @@
         }
 
         private void send(Node to, Frame.Builder frame) {
-            HomeId from = id;
-            HomeId receiver = to.id;
+            ProcessId from = id;
+            ProcessId receiver = to.id;
             Frame built = frame.build();
             deliver(name, to.name, () -> {
                 if (receiver.equals(to.id)) {
-                    to.event(new Event.FromEntry(from, built));
+                    to.event(new SchedulerEvent.EntryFrame(from, built));
                 }
             });
         }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/SchedulerCoreTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/SchedulerCoreTest.java
@@ -16,7 +16,7 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.whinwharf.owner.placement.Placement;
+import org.whinwharf.owner.placement.PlacementStrategy;
 import org.whinwharf.wire.message.Enqueue;
 import org.whinwharf.wire.message.FinishKind;
 import org.whinwharf.wire.message.Finished;
@@ -31,14 +31,14 @@
 import org.whinwharf.wire.schema.TargetLoad;
 
 class SchedulerCoreTest {
-    private static final HomeId HOME = new HomeId("h0", 7);
-    private static final HomeId PEER = new HomeId("b0", 9);
+    private static final ProcessId HOME = new ProcessId("h0", 7);
+    private static final ProcessId PEER = new ProcessId("b0", 9);
     private static final int MAX_WAITING = 4;
     private static final long TICK_MILLIS = 50;
 
-    private final SchedulerCore core = new SchedulerCore(new HomeId("s0", 5), Placement.SCORE, 0);
-    private final List<Action> actions = new ArrayList<>();
-    private final Set<Grant> given = new LinkedHashSet<>();
+    private final SchedulerCore core = new SchedulerCore(new ProcessId("s0", 5), PlacementStrategy.SCORE, 0);
+    private final List<SchedulerAction> actions = new ArrayList<>();
+    private final Set<Grant> receivedGrants = new LinkedHashSet<>();
     private Document document = Fixtures.document(4, MAX_WAITING);
     private List<String> hosts = List.of("s0");
     private List<String> targets = List.of("t0");
@@ -47,14 +47,14 @@
     private int running;
 
     @BeforeEach
-    void own() {
-        view();
-        pass(6_000);
+    void becomeOwner() {
+        changeConfiguration();
+        advance(6_000);
     }
 
     @Test
-    void grantCarriesTheHomesClockAndRunsOut() {
-        on(new Event.FromEntry(
+    void grantCarriesTheHomesClockAndItsValidity() {
+        handle(new SchedulerEvent.EntryFrame(
                 HOME,
                 Frame.newBuilder()
                         .setHeartbeat(Heartbeat.newBuilder().setSentAtMillis(123_456))
@@ -67,60 +67,59 @@
         assertThat(grants(), hasSize(1));
     }
 
-    // A target's process is replaced between two readings: its streams break, and the slots that come free would be
-    // filled
-    // up to the limit of the target that was there before.
+    // A target restarts between two readings and its streams fail. Without this rule the freed slots would be filled
+    // up to the limit learned before the restart.
     @Test
-    void failureAtTheTargetStopsGrantsUntilALaterReadingAndANewStartIsCold() {
+    void failureStopsGrantsUntilALaterReadingAndARestartedTargetIsCold() {
         enqueue(1, 0);
         finish(grants().get(0), FinishKind.FAILED);
         enqueue(2, 0);
         assertThat(grants(), hasSize(1));
         nowMillis++;
-        load(2);
+        reportLoad(2);
         assertThat(grants(), hasSize(2));
     }
 
-    // The host of a home dies with a request in flight at an engine that bears one. The engine works on for nobody; a
-    // second request would be too much for it.
+    // The host of a home fails with a request in flight at an engine with a limit of one. The engine continues to run
+    // the request, so a second request would overload it.
     @Test
-    void slotOfALostHomeIsKeptUntilAReadingShowsItFree() {
+    void slotOfADisconnectedHomeIsTakenUntilAReadingShowsItFree() {
         enqueue(1, 0);
         running = 1;
-        on(new Event.EntryLost(HOME));
-        pass(3_000);
+        handle(new SchedulerEvent.EntryDisconnected(HOME));
+        advance(3_000);
         enqueue(2, 0);
         assertThat(grants(), hasSize(1));
         running = 0;
-        pass(500);
+        advance(500);
         assertThat(grants(), hasSize(2));
     }
 
     @Test
-    void dataCentreOutRecallsUnusedGrantsRefusesWhatWaitsAndReturnsCold() {
+    void dataCentreOutOfServiceRecallsGrantsRefusesRequestsAndReturnsCold() {
         growTo(4);
         enqueue(100, 0);
         enqueue(101, 1);
         document = Fixtures.outOfService(document);
-        view();
+        changeConfiguration();
         assertThat(sent(Frame::hasRecall), hasSize(2));
         enqueue(102, 2);
         assertThat(refusals(102), contains(RefusalReason.NO_TARGET));
         document = Fixtures.document(4, MAX_WAITING);
-        view();
-        pass(6_000);
+        changeConfiguration();
+        advance(6_000);
         actions.clear();
         finishUnused(100);
         finishUnused(101);
-        pass(TICK_MILLIS);
+        advance(TICK_MILLIS);
         enqueue(103, 0);
         enqueue(104, 0);
         assertThat(grants(), hasSize(1));
     }
 
-    // A request whose deadline cannot be met would be prefilled for nothing and delay those that can be served.
+    // A request that cannot meet its deadline would be prefilled in vain and delay requests that can be served.
     @Test
-    void hopelessRequestIsRefusedAtOnceWithATimeToComeBack() {
+    void requestThatCannotMeetItsDeadlineIsRefusedWithARetryAfterDelay() {
         growTo(2);
         actions.clear();
         enqueue(Enqueue.newBuilder().setRequest(50).setAnswerTokens(10_000).setLeftMillis(1_000));
@@ -128,10 +127,10 @@
         assertThat(refusal(50).getComeBackMillis(), greaterThan(0L));
     }
 
-    // The prediction of the wait is wrong at times. An inspector was told that the deadline could not be met while a
-    // long summary of a lower tier, which waited all the time, got the next place.
+    // The predicted wait may be wrong. A request of a higher tier was refused as hopeless while a long request of a
+    // lower tier, which waited all the time, got the next slot.
     @Test
-    void requestIsNotGivenUpByAPredictedWaitWhileALowerTierWaits() {
+    void predictedWaitDoesNotRefuseARequestWhileALowerTierWaits() {
         enqueue(1, 0);
         finish(grants().get(0), FinishKind.COMPLETED);
         for (long request = 60; request < 62; request++) {
@@ -162,42 +161,41 @@
         assertThat(refusals(73), hasSize(0));
     }
 
-    // Requests that have just arrived show as queued for a moment. The owner believed each such reading, and held its
-    // engines at half of what they bear while callers of lower tiers were turned away.
+    // Requests that have just arrived are briefly reported as queued. The owner applied each such reading, so it kept
+    // the limits at half the capacity of the engines while requests of lower tiers were refused.
     @Test
-    void singleReadingOfAQueueDoesNotLowerTheLimitButALastingOneDoes() {
+    void onlySuccessiveReadingsOfAQueueLowerTheLimit() {
         growTo(4);
         int before = core.states(nowMillis).get(0).getTargets(0).getLimit();
-        readQueued(1, 1);
+        reportQueue(1, 1);
         assertThat(core.states(nowMillis).get(0).getTargets(0).getLimit(), is(before));
         for (int i = 0; i < 4; i++) {
             nowMillis += 250;
-            readQueued(2, 1);
+            reportQueue(2, 1);
         }
         assertThat(core.states(nowMillis).get(0).getTargets(0).getLimit(), is(2));
     }
 
-    // One answer took very long, so everything looks hopeless from then on; nothing is sent, and so nothing can show
-    // that
-    // the target has recovered. Callers would be turned away for ever.
+    // After one very slow answer every request seems unable to meet its deadline. If the old speed counted for ever,
+    // no request would be sent, and the target could never show that it has recovered.
     @Test
-    void targetThatWasSlowOnceIsTriedAgain() {
+    void targetThatWasSlowOnceReceivesRequestsAgain() {
         enqueue(1, 0);
         finish(grants().get(0), FinishKind.COMPLETED, 20_000);
         enqueue(2, 0);
         assertThat(refusals(2), contains(RefusalReason.HOPELESS));
-        pass(11_000);
+        advance(11_000);
         enqueue(3, 0);
         assertThat(grants().get(grants().size() - 1).getRequest(), is(3L));
     }
 
-    // Operators lower the bound of a service whose engines are overloaded, and nothing happens at targets that are in
+    // Operators lower the maximum of a service whose engines are overloaded; the change must also apply to targets in
     // use.
     @Test
-    void lowerBoundOfANewDocumentHoldsForTargetsThatAreKnown() {
+    void lowerMaximumOfANewDocumentAppliesToKnownTargets() {
         growTo(4);
         document = Fixtures.document(2, MAX_WAITING);
-        view();
+        changeConfiguration();
         for (long request = 1; request <= 4; request++) {
             enqueue(request, 0);
         }
@@ -211,50 +209,49 @@
             enqueue(request, 0);
         }
         enqueue(6, 2);
-        assertThat(refused(), hasSize(1));
-        assertThat(refused().get(0).getReason(), is(RefusalReason.SHED));
-        assertThat(refused().get(0).getRequest(), is(not(6L)));
+        assertThat(allRefusals(), hasSize(1));
+        assertThat(allRefusals().get(0).getReason(), is(RefusalReason.SHED));
+        assertThat(allRefusals().get(0).getRequest(), is(not(6L)));
     }
 
-    // Two owners of one service: this one is full of the highest tier while the other still keeps a low one. Shedding
-    // here
-    // would turn a ranger away while a tourist's request waits elsewhere.
+    // One owner of a service has a queue full of the highest tier while the other owner keeps a request of a low
+    // tier. Shedding immediately would refuse a request of a high tier while one of a low tier waits elsewhere.
     @Test
-    void higherTierIsShedOnlyAfterTheOtherOwnersHaveClearedWhatWaitsBelow() {
+    void higherTierIsShedOnlyAfterOtherOwnersHaveClearedLowerTiers() {
         hosts = List.of("s0", "b0");
         targets = List.of("t0", "b-t1");
-        view();
-        on(new Event.PeerUp(PEER));
-        pass(8_000);
+        changeConfiguration();
+        handle(new SchedulerEvent.PeerConnected(PEER));
+        advance(8_000);
         actions.clear();
         for (long request = 1; request <= MAX_WAITING + 2; request++) {
             enqueue(request, 2);
         }
         FloorRaise raise = actions.stream()
-                .filter(action -> action instanceof Action.ToPeer send
+                .filter(action -> action instanceof SchedulerAction.SendToPeer send
                         && send.host().equals("b0")
                         && send.frame().hasFloorRaise())
-                .map(action -> ((Action.ToPeer) action).frame().getFloorRaise())
+                .map(action -> ((SchedulerAction.SendToPeer) action).frame().getFloorRaise())
                 .findFirst()
                 .orElseThrow();
         assertThat(raise.getRank(), is(2));
-        assertThat(refused(), is(empty()));
+        assertThat(allRefusals(), is(empty()));
         fromPeer(Frame.newBuilder()
                 .setFloorCleared(FloorCleared.newBuilder()
                         .setService(Fixtures.SERVICE)
                         .setRank(2)
                         .setFloor(raise.getFloor())));
-        assertThat(refused().size(), greaterThan(0));
-        pass(3_000);
+        assertThat(allRefusals().size(), greaterThan(0));
+        advance(3_000);
         assertThat(
                 actions.stream()
-                        .anyMatch(action -> action instanceof Action.ToPeer send
+                        .anyMatch(action -> action instanceof SchedulerAction.SendToPeer send
                                 && send.frame().hasFloorLower()),
                 is(false));
     }
 
     @Test
-    void floorOfAnotherOwnerEvictsAndRefusesWhatIsBelowUntilItRunsOut() {
+    void floorOfAnotherOwnerEvictsAndRefusesLowerTiersUntilItExpires() {
         enqueue(1, 0);
         enqueue(2, 1);
         enqueue(3, 2);
@@ -265,76 +262,76 @@
                         .setRank(2)
                         .setGoodMillis(1_000)
                         .setFloor(1)));
-        assertThat(refused().stream().map(Refusal::getReason).distinct().toList(), contains(RefusalReason.BELOW_FLOOR));
-        assertThat(refused(), hasSize(2));
+        assertThat(
+                allRefusals().stream().map(Refusal::getReason).distinct().toList(),
+                contains(RefusalReason.BELOW_FLOOR));
+        assertThat(allRefusals(), hasSize(2));
         assertThat(
                 actions.stream()
-                        .anyMatch(action -> action instanceof Action.ToPeer send
+                        .anyMatch(action -> action instanceof SchedulerAction.SendToPeer send
                                 && send.frame().hasFloorCleared()),
                 is(true));
         enqueue(5, 1);
         assertThat(refusals(5), contains(RefusalReason.BELOW_FLOOR));
-        pass(1_100);
+        advance(1_100);
         enqueue(6, 1);
         assertThat(refusals(6), is(empty()));
     }
 
-    // The host is replaced. What waits must move to the next owner at once, and no grant may be used after that owner
-    // has
-    // begun.
+    // The host is replaced. Waiting requests must move to the next owner immediately, and no grant may be used after
+    // that owner has started to grant.
     @Test
-    void plannedStopRefusesWhatWaitsAndReleasesPledgesOnceNoGrantIsUnused() {
+    void plannedStopRefusesWaitingRequestsAndReleasesPledgesOnceNoGrantIsUnused() {
         enqueue(1, 0);
         enqueue(2, 0);
-        on(new Event.Leave());
+        handle(new SchedulerEvent.Leave());
         assertThat(refusals(2), hasItem(RefusalReason.OWNER_LEAVING));
         assertThat(sent(Frame::hasRecall), hasSize(1));
-        assertThat(core.hasHandedOver(nowMillis), is(false));
+        assertThat(core.isHandoverComplete(nowMillis), is(false));
         finishUnused(1);
-        assertThat(core.hasHandedOver(nowMillis), is(true));
+        assertThat(core.isHandoverComplete(nowMillis), is(true));
     }
 
-    // The process sleeps for longer than its pledges last; another owner has taken over when it wakes.
+    // The process is paused for longer than its pledges last, and another owner has taken over when it resumes.
     @Test
-    void ownerThatWakesAfterASleepGrantsNothingBeforeListsMustAgreeAgain() {
+    void ownerGrantsNothingAfterAPauseUntilListsMustAgreeAgain() {
         nowMillis += 10_000;
         enqueue(1, 0);
         assertThat(grants(), is(empty()));
-        pass(1_500);
+        advance(1_500);
         assertThat(grants(), is(empty()));
-        pass(1_500);
+        advance(1_500);
         assertThat(grants(), hasSize(1));
     }
 
-    // The first candidate dies and the list does not say so yet. The next one takes over; while it gathers pledges,
-    // homes
-    // turn to other slices, and without anybody asking it must not give up just before it can grant.
+    // The first candidate fails while the list still contains it, and the next candidate takes over. While it gathers
+    // pledges, homes use other slices; the lack of requests must not make it give up just before it can grant.
     @Test
-    void laterCandidateTakesOverAndKeepsTheSliceUntilTheFirstCanBeReached() {
+    void laterCandidateKeepsTheSliceUntilTheFirstIsReachable() {
         hosts = List.of("s0", "a1", "a3", "a4");
-        view();
+        changeConfiguration();
         String first = Fixtures.membership(1, document, hosts, targets)
                 .candidates(Fixtures.SLICE)
                 .get(0)
                 .getName();
         assertThat(first, is(not("s0")));
-        pass(6_000);
+        advance(6_000);
         actions.clear();
         enqueue(1, 0);
-        pass(7_000);
-        pass(7_000);
-        assertThat(pledgesAsked(), is(true));
-        on(new Event.PeerUp(new HomeId(first, 1)));
+        advance(7_000);
+        advance(7_000);
+        assertThat(requestsPledges(), is(true));
+        handle(new SchedulerEvent.PeerConnected(new ProcessId(first, 1)));
         enqueue(2, 0);
         assertThat(refusals(2), contains(RefusalReason.NOT_OWNER));
     }
 
-    private boolean pledgesAsked() {
+    private boolean requestsPledges() {
         actions.clear();
-        pass(1_000);
+        advance(1_000);
         return actions.stream()
-                .anyMatch(action ->
-                        action instanceof Action.ToPeer send && send.frame().hasPledgeRequest());
+                .anyMatch(action -> action instanceof SchedulerAction.SendToPeer send
+                        && send.frame().hasPledgeRequest());
     }
 
     private void growTo(int limit) {
@@ -349,38 +346,39 @@
         }
     }
 
-    private void view() {
-        on(new Event.Viewed(Fixtures.membership(++revision, document, hosts, targets), Rules.of(document)));
+    private void changeConfiguration() {
+        handle(new SchedulerEvent.ConfigurationChanged(
+                Fixtures.membership(++revision, document, hosts, targets), SchedulerConfiguration.of(document)));
     }
 
-    private void on(Event event) {
+    private void handle(SchedulerEvent event) {
         actions.addAll(core.handle(event, nowMillis));
-        given.addAll(grants());
+        receivedGrants.addAll(grants());
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         for (long untilMillis = nowMillis + millis; nowMillis < untilMillis; ) {
             nowMillis += TICK_MILLIS;
-            load(1);
-            on(new Event.Tick());
+            reportLoad(1);
+            handle(new SchedulerEvent.Tick());
         }
     }
 
-    private void load(long startNumber) {
+    private void reportLoad(long startNumber) {
         TargetLoad load = TargetLoad.newBuilder()
                 .setStartNumber(startNumber)
                 .setRunning(running)
                 .build();
-        targets.forEach(target -> on(new Event.LoadRead(target, load, nowMillis)));
+        targets.forEach(target -> handle(new SchedulerEvent.LoadReceived(target, load, nowMillis)));
     }
 
-    private void readQueued(int running, int queued) {
+    private void reportQueue(int running, int queued) {
         TargetLoad load = TargetLoad.newBuilder()
                 .setStartNumber(1)
                 .setRunning(running)
                 .setQueued(queued)
                 .build();
-        targets.forEach(target -> on(new Event.LoadRead(target, load, nowMillis)));
+        targets.forEach(target -> handle(new SchedulerEvent.LoadReceived(target, load, nowMillis)));
     }
 
     private void enqueue(long request, int rank) {
@@ -393,11 +391,12 @@
 
     private void enqueue(Enqueue.Builder enqueue) {
         enqueue.setSlice(Fixtures.SLICE).setOrganisation("o").setWeight(1);
-        on(new Event.FromEntry(HOME, Frame.newBuilder().setEnqueue(enqueue).build()));
+        handle(new SchedulerEvent.EntryFrame(
+                HOME, Frame.newBuilder().setEnqueue(enqueue).build()));
     }
 
     private void finishUnused(long request) {
-        given.stream()
+        receivedGrants.stream()
                 .filter(grant -> grant.getRequest() == request)
                 .forEach(grant -> finish(grant, FinishKind.UNUSED));
     }
@@ -407,7 +406,7 @@
     }
 
     private void finish(Grant grant, FinishKind kind, long totalMillis) {
-        on(finishedEvent(Finished.newBuilder()
+        handle(finishedEvent(Finished.newBuilder()
                 .setRequest(grant.getRequest())
                 .setGrant(grant.getGrant())
                 .setTarget(grant.getTarget())
@@ -417,8 +416,8 @@
                 .setAnswerTokens(20)));
     }
 
-    private static Event finishedEvent(Finished.Builder finished) {
-        return new Event.FromEntry(
+    private static SchedulerEvent finishedEvent(Finished.Builder finished) {
+        return new SchedulerEvent.EntryFrame(
                 HOME,
                 Frame.newBuilder()
                         .setFinished(finished.setSlice(Fixtures.SLICE))
@@ -426,26 +425,26 @@
     }
 
     private void fromPeer(Frame.Builder frame) {
-        on(new Event.FromPeer(PEER, frame.build()));
+        handle(new SchedulerEvent.PeerFrame(PEER, frame.build()));
     }
 
     private List<Grant> grants() {
         return sent(Frame::hasGrant).stream().map(Frame::getGrant).toList();
     }
 
-    private List<Refusal> refused() {
+    private List<Refusal> allRefusals() {
         return sent(Frame::hasRefusal).stream().map(Frame::getRefusal).toList();
     }
 
     private Refusal refusal(long request) {
-        return refused().stream()
+        return allRefusals().stream()
                 .filter(refusal -> refusal.getRequest() == request)
                 .findFirst()
                 .orElseThrow();
     }
 
     private List<RefusalReason> refusals(long request) {
-        return refused().stream()
+        return allRefusals().stream()
                 .filter(refusal -> refusal.getRequest() == request)
                 .map(Refusal::getReason)
                 .toList();
@@ -453,8 +452,8 @@
 
     private List<Frame> sent(Predicate<Frame> kind) {
         return actions.stream()
-                .filter(Action.ToEntry.class::isInstance)
-                .map(action -> ((Action.ToEntry) action).frame())
+                .filter(SchedulerAction.SendToEntry.class::isInstance)
+                .map(action -> ((SchedulerAction.SendToEntry) action).frame())
                 .filter(kind)
                 .toList();
     }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/limit/ConcurrencyLimitTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/limit/ConcurrencyLimitTest.java
@@ -13,16 +13,16 @@
             Limits.newBuilder().setCold(1).setMost(32).setSlowFactor(2).build());
 
     @Test
-    void growsByCompletionsOnlyWhileItIsUsedUp() {
+    void growsByCompletionsOnlyAtTheLimit() {
         complete(10, 100, false);
         assertThat(limit.value(), is(1));
         complete(10, 100, true);
         assertThat(limit.value(), is(11));
     }
 
-    // An engine that is past its best serves everybody slowly; the owner must not wait until it refuses.
+    // An overloaded engine is slow for all its requests; the owner must not wait until it refuses.
     @Test
-    void stepsBackWhenServiceTimeExceedsTheBestSeen() {
+    void decreasesWhenServiceTimeExceedsTheBestObserved() {
         complete(31, 100, true);
         int before = limit.value();
         complete(60, 300, true);
@@ -30,12 +30,13 @@
         assertThat(limit.value(), greaterThan(1));
     }
 
-    // The limit had grown beyond what the engine runs at once, since long answers hide a wait at the engine. A short
-    // request of the highest tier waited there behind them until its deadline had passed.
+    // The limit had grown beyond the number of requests that the engine runs concurrently, because long answers hide
+    // the queueing time. A short request of the highest tier was queued at the engine behind them until its deadline
+    // had passed.
     @Test
-    void fallsToWhatTheTargetRunsWhenRequestsWaitThere() {
+    void fallsToTheRunningRequestsWhenOthersAreQueuedAtTheTarget() {
         complete(15, 100, true);
-        limit.queued(4);
+        limit.onQueued(4);
         assertThat(limit.value(), is(4));
         complete(4, 100, true);
         assertThat(limit.value(), is(5));
@@ -44,28 +45,29 @@
     @Test
     void halvesOnARefusal() {
         complete(15, 100, true);
-        limit.refused();
+        limit.onRefused();
         assertThat(limit.value(), is(8));
     }
 
-    // A target lost its caches and weights without a new start number: each answer takes many times longer at once.
+    // A target lost its caches and weights without a new start number, so each answer suddenly takes many times
+    // longer.
     @Test
-    void fallsToColdOnASuddenStepOfServiceTime() {
+    void resetsToColdOnASuddenIncreaseOfServiceTime() {
         complete(15, 100, true);
         complete(2, 1000, true);
         assertThat(limit.value(), is(1));
     }
 
     @Test
-    void growsAgainWhenATargetIsSlowerForGood() {
+    void growsAgainWhenATargetIsPermanentlySlower() {
         complete(31, 100, true);
         complete(2000, 250, true);
         assertThat(limit.value(), greaterThan(4));
     }
 
-    private void complete(int times, long totalMillis, boolean wasFull) {
+    private void complete(int times, long totalMillis, boolean limitReached) {
         for (int i = 0; i < times; i++) {
-            limit.completed(new Sample(10, totalMillis, 0, 0, 20), wasFull);
+            limit.onCompleted(new CompletionSample(10, totalMillis, 0, 0, 20), limitReached);
         }
     }
 }
--- a/org.whinwharf.test/src/test/java/org/whinwharf/owner/pledge/VoterTest.java
+++ b/org.whinwharf.test/src/test/java/org/whinwharf/owner/pledge/VoterTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.owner.HomeId;
+import org.whinwharf.owner.ProcessId;
 import org.whinwharf.owner.Timings;
 import org.whinwharf.wire.message.Pledge;
 import org.whinwharf.wire.message.PledgeRequest;
@@ -28,46 +28,46 @@
     private static final PledgeRequest REQUEST =
             PledgeRequest.newBuilder().addSlices(SLICE).build();
     private static final Membership MEMBERSHIP = membership();
-    private static final HomeId FIRST = owner(0);
-    private static final HomeId SECOND = owner(1);
+    private static final ProcessId FIRST = owner(0);
+    private static final ProcessId SECOND = owner(1);
 
     private final Voter voter = new Voter(0);
 
-    // A host is restarted and has forgotten that it pledged to one owner. If it pledged to another at once, both would
-    // count it and send twice what a target bears.
+    // A host restarts and has lost its record of pledges. If it pledged to another owner immediately, two owners
+    // would count its pledge and together send twice the limit of a target.
     @Test
-    void restartedVoterPledgesNothingUntilItsEarlierPledgesHaveRunOut() {
-        assertThat(ask(FIRST, 1000).getRefusedCount(), is(1));
-        assertThat(ask(FIRST, 1001).getSlicesCount(), is(1));
+    void restartedVoterPledgesNothingUntilItsEarlierPledgesHaveExpired() {
+        assertThat(request(FIRST, 1000).getRefusedCount(), is(1));
+        assertThat(request(FIRST, 1001).getSlicesCount(), is(1));
     }
 
     @Test
-    void pledgesToOneOwnerAtATimeAndTellsHowLongTheOtherIsGone() {
-        assertThat(ask(SECOND, 2000).getSlicesCount(), is(1));
-        assertThat(ask(FIRST, 2999).getRefusedCount(), is(1));
-        Pledge pledge = ask(FIRST, 3100);
+    void pledgesToOneOwnerAtATimeAndReportsTheTimeSinceTheOtherExpired() {
+        assertThat(request(SECOND, 2000).getSlicesCount(), is(1));
+        assertThat(request(FIRST, 2999).getRefusedCount(), is(1));
+        Pledge pledge = request(FIRST, 3100);
         assertThat(pledge.getSlicesCount(), is(1));
         assertThat(pledge.getQuietMillis(0), is(100L));
     }
 
-    // The host that comes first by the list returns, and the present owner would renew its pledges for ever.
+    // The first candidate returns, while the present owner could renew its pledges indefinitely.
     @Test
-    void stopsRenewingWhenAnOwnerThatComesFirstAsks() {
-        ask(SECOND, 2000);
-        ask(FIRST, 2100);
-        assertThat(ask(SECOND, 2300).getRefusedCount(), is(1));
-        assertThat(ask(FIRST, 3000).getSlicesCount(), is(1));
-        ask(SECOND, 3100);
-        assertThat(ask(FIRST, 3300).getSlicesCount(), is(1));
+    void stopsRenewingWhenAPreferredCandidateRequests() {
+        request(SECOND, 2000);
+        request(FIRST, 2100);
+        assertThat(request(SECOND, 2300).getRefusedCount(), is(1));
+        assertThat(request(FIRST, 3000).getSlicesCount(), is(1));
+        request(SECOND, 3100);
+        assertThat(request(FIRST, 3300).getSlicesCount(), is(1));
     }
 
     @Test
     void cleanReleaseLetsTheNextOwnerStartWithoutWaitingForGrants() {
-        ask(FIRST, 2000);
+        request(FIRST, 2000);
         voter.release(FIRST, List.of(SLICE), true, TIMINGS, 2100);
-        Pledge pledge = ask(SECOND, 2110);
+        Pledge pledge = request(SECOND, 2110);
         assertThat(pledge.getSlicesCount(), is(1));
-        assertThat(pledge.getQuietMillis(0), is(10 + TIMINGS.longest(TIMINGS.grantMillis())));
+        assertThat(pledge.getQuietMillis(0), is(10 + TIMINGS.upperBoundMillis(TIMINGS.grantMillis())));
     }
 
     @Property(seed = "20261203")
@@ -80,19 +80,19 @@
         int first = Math.min(one, voters);
         int second = Math.min(other, voters - first);
         int third = voters - first - second;
-        int sum = new Share(first, voters).of(limit, rule)
-                + new Share(second, voters).of(limit, rule)
-                + new Share(third, voters).of(limit, rule);
+        int sum = new Share(first, voters).usableSlots(limit, rule)
+                + new Share(second, voters).usableSlots(limit, rule)
+                + new Share(third, voters).usableSlots(limit, rule);
         assertThat(sum, lessThanOrEqualTo(limit));
-        assertThat(new Share(voters, voters).of(limit, rule), is(limit));
+        assertThat(new Share(voters, voters).usableSlots(limit, rule), is(limit));
     }
 
-    private Pledge ask(HomeId asker, long nowMillis) {
-        return voter.answer(asker, REQUEST, MEMBERSHIP, TIMINGS, nowMillis);
+    private Pledge request(ProcessId requester, long nowMillis) {
+        return voter.answer(requester, REQUEST, MEMBERSHIP, TIMINGS, nowMillis);
     }
 
-    private static HomeId owner(int place) {
-        return new HomeId(MEMBERSHIP.candidates(SLICE).get(place).getName(), 1);
+    private static ProcessId owner(int index) {
+        return new ProcessId(MEMBERSHIP.candidates(SLICE).get(index).getName(), 1);
     }
 
     private static Membership membership() {
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/ConnectionGate.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/ConnectionRegistry.java
@@ -6,46 +6,46 @@
 import io.netty.util.concurrent.GlobalEventExecutor;
 import org.whinwharf.wire.peer.PeerEvent;
 
-/** Open connections of one network, and which new ones are let in. */
-public final class ConnectionGate {
+/** Tracks the open connections of one network and decides which inbound connections are admitted. */
+public final class ConnectionRegistry {
     private final int maxConnections;
-    private final LinkContext shared;
+    private final LinkContext linkContext;
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 
     /**
-     * Makes a gate without connections.
+     * Creates an empty registry.
      *
-     * @param maxConnections most open connections
-     * @param shared what all links share
+     * @param maxConnections maximum number of open connections
+     * @param linkContext state that all links share
      */
-    public ConnectionGate(int maxConnections, LinkContext shared) {
+    public ConnectionRegistry(int maxConnections, LinkContext linkContext) {
         this.maxConnections = maxConnections;
-        this.shared = shared;
+        this.linkContext = linkContext;
     }
 
     /**
-     * Returns how many connections are open.
+     * Returns the number of open connections.
      *
      * @return number of connections
      */
-    public int open() {
+    public int openConnections() {
         return channels.size();
     }
 
     /**
-     * Sends what is queued and closes all connections.
+     * Writes the queued data and closes all connections.
      *
-     * @param timeoutMillis longest wait
+     * @param timeoutMillis time limit for writing, and again for closing what is still open
      */
     public void closeAll(long timeoutMillis) {
         for (Channel channel : channels) {
-            Closing.afterFlush(channel);
+            ChannelCloser.closeAfterFlush(channel);
         }
         channels.newCloseFuture().awaitUninterruptibly(timeoutMillis);
         channels.close().awaitUninterruptibly(timeoutMillis);
     }
 
-    /** Closes each link whose peer the filter admits no more. */
+    /** Closes each link whose peer the filter no longer admits. */
     public void recheck() {
         for (Channel channel : channels) {
             LinkHandler handler = channel.pipeline().get(LinkHandler.class);
@@ -55,13 +55,13 @@
         }
     }
 
-    boolean letIn(Channel channel) {
+    boolean admit(Channel channel) {
         if (channels.size() >= maxConnections) {
-            shared.counters().add(PeerEvent.TOO_MANY_CONNECTIONS);
+            linkContext.counters().add(PeerEvent.TOO_MANY_CONNECTIONS);
             return false;
         }
-        if (!shared.filter().admitsAddress(LinkHandler.addressOf(channel))) {
-            shared.counters().add(PeerEvent.UNLISTED);
+        if (!linkContext.filter().admitsAddress(LinkHandler.addressOf(channel))) {
+            linkContext.counters().add(PeerEvent.UNLISTED);
             return false;
         }
         return channels.add(channel);
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Connector.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/Connector.java
@@ -10,51 +10,56 @@
 import org.whinwharf.wire.peer.PeerAddress;
 import org.whinwharf.wire.peer.PeerEvent;
 
-/** Keeps one connection to one peer: connects again after each end, with a growing wait. */
+/** Maintains one connection to one peer: reconnects with backoff whenever the connection is lost. */
 public final class Connector {
     private final Bootstrap bootstrap;
     private final PeerAddress peer;
     private final Backoff backoff;
-    private final LinkContext shared;
+    private final LinkContext linkContext;
     private final Set<String> holders = new HashSet<>();
     private boolean stopped;
     private Channel channel;
     private Future<?> retry;
 
     /**
-     * Makes a connector that does nothing yet.
+     * Creates a connector that does not connect before it has a holder.
      *
-     * @param bootstrap makes the connection; its handler is set here
-     * @param peer where the peer listens
-     * @param backoff waits between attempts
-     * @param shared what all links share
-     * @param gate knows the open connections
+     * @param bootstrap bootstrap of the connection; its handler is set here
+     * @param peer address of the peer
+     * @param backoff delays between attempts
+     * @param linkContext state that all links share
+     * @param registry registry of open connections
      */
-    public Connector(Bootstrap bootstrap, PeerAddress peer, Backoff backoff, LinkContext shared, ConnectionGate gate) {
+    public Connector(
+            Bootstrap bootstrap,
+            PeerAddress peer,
+            Backoff backoff,
+            LinkContext linkContext,
+            ConnectionRegistry registry) {
         this.peer = peer;
         this.backoff = backoff;
-        this.shared = shared;
-        this.bootstrap = bootstrap.handler(LinkInitializer.calling(shared, gate, peer, this::linkIsUp));
+        this.linkContext = linkContext;
+        this.bootstrap = bootstrap.handler(LinkInitializer.outbound(linkContext, registry, peer, this::resetBackoff));
     }
 
     /**
-     * Connects when this is the first holder.
+     * Adds a holder, and connects if it is the first one.
      *
-     * @param holder who wants the link
+     * @param holder component that needs the link
      */
-    public synchronized void hold(String holder) {
+    public synchronized void acquire(String holder) {
         boolean first = holders.isEmpty();
         holders.add(holder);
         if (first) {
-            attempt();
+            connect();
         }
     }
 
     /**
-     * Closes the connection when this was the last holder.
+     * Removes a holder, and closes the connection if it was the last one.
      *
-     * @param holder who wants the link no more
-     * @return true when nobody is left
+     * @param holder component that no longer needs the link
+     * @return true if no holder is left
      */
     public synchronized boolean release(String holder) {
         holders.remove(holder);
@@ -64,48 +69,48 @@
         return holders.isEmpty();
     }
 
-    /** Sends what is queued, closes the connection and connects no more. */
+    /** Writes the queued frames, closes the connection and stops reconnecting. */
     public synchronized void stop() {
         stopped = true;
         if (retry != null) {
             retry.cancel(false);
         }
         if (channel != null) {
-            Closing.afterFlush(channel);
+            ChannelCloser.closeAfterFlush(channel);
         }
     }
 
-    private synchronized void attempt() {
+    private synchronized void connect() {
         if (!stopped) {
-            ChannelFuture connecting = bootstrap.connect(peer.address(), peer.port());
-            connecting.addListener(done -> connected(connecting));
+            ChannelFuture connectFuture = bootstrap.connect(peer.address(), peer.port());
+            connectFuture.addListener(completed -> connectFinished(connectFuture));
         }
     }
 
-    private synchronized void connected(ChannelFuture connecting) {
-        if (!connecting.isSuccess()) {
-            shared.counters().add(PeerEvent.CONNECT_FAILED);
-            shared.listener().unreachable(peer);
-            attemptLater(connecting.channel());
+    private synchronized void connectFinished(ChannelFuture connectFuture) {
+        if (!connectFuture.isSuccess()) {
+            linkContext.counters().add(PeerEvent.CONNECT_FAILED);
+            linkContext.listener().unreachable(peer);
+            scheduleReconnect(connectFuture.channel());
             return;
         }
         if (stopped) {
-            // Given up while the connection was being made; before that there was nothing that could be closed.
-            connecting.channel().close();
+            // The connector was stopped while the connect was in progress, when it had no channel to close yet.
+            connectFuture.channel().close();
             return;
         }
-        shared.counters().add(PeerEvent.CONNECTED);
-        channel = connecting.channel();
-        channel.closeFuture().addListener(closed -> attemptLater(connecting.channel()));
+        linkContext.counters().add(PeerEvent.CONNECTED);
+        channel = connectFuture.channel();
+        channel.closeFuture().addListener(closed -> scheduleReconnect(connectFuture.channel()));
     }
 
-    private synchronized void attemptLater(Channel ended) {
+    private synchronized void scheduleReconnect(Channel closedChannel) {
         if (!stopped) {
-            retry = ended.eventLoop().schedule(this::attempt, backoff.nextMillis(), TimeUnit.MILLISECONDS);
+            retry = closedChannel.eventLoop().schedule(this::connect, backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
         }
     }
 
-    private synchronized void linkIsUp() {
+    private synchronized void resetBackoff() {
         backoff.reset();
     }
 }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/FrameDecoder.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/FrameDecoder.java
@@ -10,9 +10,9 @@
 import org.whinwharf.wire.message.Frame;
 import org.whinwharf.wire.peer.PeerEvent;
 
-/** Cuts the bytes of a connection into frames. After the first bad one it reads nothing more. */
+/** Decodes the byte stream of a connection into frames. After the first invalid frame it discards all input. */
 public final class FrameDecoder extends ByteToMessageDecoder {
-    /** Largest first frame: a stranger can make us hold no more than this. */
+    /** Maximum size of the first frame. Bounds the memory that an unidentified sender can make this process use. */
     public static final int MAX_HELLO_BYTES = 1_024;
 
     private static final int MAX_PREFIX_BYTES = 5;
@@ -20,10 +20,10 @@
 
     private final LinkCounters counters;
     private int maxFrameBytes = MAX_HELLO_BYTES;
-    private boolean broken;
+    private boolean failed;
 
     /**
-     * Makes a decoder that accepts only a hello's size until told otherwise.
+     * Creates a decoder that accepts frames of up to {@link #MAX_HELLO_BYTES} until the limit is raised.
      *
      * @param counters counters of the network
      */
@@ -31,29 +31,29 @@
         this.counters = counters;
     }
 
-    void allow(int newMaxFrameBytes) {
+    void setMaxFrameBytes(int newMaxFrameBytes) {
         maxFrameBytes = newMaxFrameBytes;
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
-        if (broken) {
+        if (failed) {
             in.skipBytes(in.readableBytes());
             return;
         }
         try {
-            decodeOne(in, out);
+            decodeFrame(in, out);
         } catch (RuntimeException failure) {
-            broken = true;
+            failed = true;
             throw failure;
         }
     }
 
-    private void decodeOne(ByteBuf in, List<Object> out) {
+    private void decodeFrame(ByteBuf in, List<Object> out) {
         int start = in.readerIndex();
-        int sizeBytes = readPrefix(in);
+        int sizeBytes = readLengthPrefix(in);
         if (sizeBytes > maxFrameBytes) {
-            throw new TooLongFrameException("frame of " + sizeBytes + " bytes, allowed " + maxFrameBytes);
+            throw new TooLongFrameException("frame of " + sizeBytes + " bytes exceeds the limit of " + maxFrameBytes);
         }
         if (sizeBytes == INCOMPLETE || in.readableBytes() < sizeBytes) {
             in.readerIndex(start);
@@ -66,7 +66,7 @@
         out.add(frame);
     }
 
-    private static int readPrefix(ByteBuf in) {
+    private static int readLengthPrefix(ByteBuf in) {
         long value = 0;
         for (int i = 0; i < MAX_PREFIX_BYTES; i++) {
             if (!in.isReadable()) {
@@ -78,14 +78,14 @@
                 return (int) Math.min(value, Integer.MAX_VALUE);
             }
         }
-        throw new CorruptedFrameException("length prefix of more than " + MAX_PREFIX_BYTES + " bytes");
+        throw new CorruptedFrameException("length prefix is longer than " + MAX_PREFIX_BYTES + " bytes");
     }
 
     private static Frame parse(ByteBuf in, int sizeBytes) {
         try {
             return Frame.parseFrom(in.nioBuffer(in.readerIndex(), sizeBytes));
         } catch (InvalidProtocolBufferException e) {
-            throw new CorruptedFrameException("not a frame", e);
+            throw new CorruptedFrameException("frame cannot be parsed", e);
         }
     }
 }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkHandler.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkHandler.java
@@ -17,36 +17,36 @@
 import org.whinwharf.wire.peer.PeerEvent;
 import org.whinwharf.wire.peer.PeerNetwork;
 
-/** Leads one connection from hello to its end. */
+/** Handles one connection: hello handshake, received frames, heartbeats and closing. */
 public final class LinkHandler extends SimpleChannelInboundHandler<Frame> {
     private static final Logger LOG = LogManager.getLogger(LinkHandler.class);
 
-    private final LinkContext shared;
+    private final LinkContext linkContext;
     private final FrameDecoder decoder;
-    private final PeerAddress called;
-    private final Runnable onUp;
+    private final PeerAddress expectedPeer;
+    private final Runnable onLinkUp;
     private Link link;
     private ScheduledFuture<?> heartbeat;
-    private String reason = "closed by the other side";
+    private String reason = "closed by the remote process";
 
     /**
-     * Makes the handler of one connection.
+     * Creates the handler of one connection.
      *
-     * @param shared what all links share
+     * @param linkContext state that all links share
      * @param decoder decoder of the same connection
-     * @param called the peer that this process called; null when the other side called
-     * @param onUp is run once when the link comes up
+     * @param expectedPeer peer that this process connected to; null for an inbound connection
+     * @param onLinkUp runs once when the link comes up
      */
-    public LinkHandler(LinkContext shared, FrameDecoder decoder, PeerAddress called, Runnable onUp) {
-        this.shared = shared;
+    public LinkHandler(LinkContext linkContext, FrameDecoder decoder, PeerAddress expectedPeer, Runnable onLinkUp) {
+        this.linkContext = linkContext;
         this.decoder = decoder;
-        this.called = called;
-        this.onUp = onUp;
+        this.expectedPeer = expectedPeer;
+        this.onLinkUp = onLinkUp;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        if (called != null) {
+        if (expectedPeer != null) {
             sendHello(context);
         }
         context.fireChannelActive();
@@ -58,11 +58,11 @@
             return;
         }
         if (link == null) {
-            receiveFirst(context, frame);
+            receiveHello(context, frame);
         } else if (frame.getBodyCase() == Frame.BodyCase.BODY_NOT_SET || frame.hasHello()) {
             close(context, PeerEvent.UNKNOWN_FRAME, "frame of unknown kind");
         } else {
-            shared.listener().received(link, frame);
+            linkContext.listener().received(link, frame);
         }
     }
 
@@ -72,8 +72,8 @@
             heartbeat.cancel(false);
         }
         if (link != null) {
-            shared.counters().add(PeerEvent.LINK_DOWN);
-            shared.listener().linkDown(link, link.closeReason(reason));
+            linkContext.counters().add(PeerEvent.LINK_DOWN);
+            linkContext.listener().linkDown(link, link.closeReason(reason));
         }
         context.fireChannelInactive();
     }
@@ -81,8 +81,8 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
         if (event instanceof IdleStateEvent) {
-            // A host that vanishes sends no end of stream; only its silence shows that the link is dead.
-            close(context, PeerEvent.IDLE, "nothing heard in time");
+            // A host that fails sends no end of stream; only the idle timeout shows that the link is dead.
+            close(context, PeerEvent.IDLE, "no frame received within the idle timeout");
         } else {
             context.fireUserEventTriggered(event);
         }
@@ -90,61 +90,65 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable failure) {
-        close(context, kindOf(failure), String.valueOf(failure.getMessage()));
+        close(context, eventOf(failure), String.valueOf(failure.getMessage()));
     }
 
-    /** Closes the connection when its peer is admitted no more; called by the connection's thread. */
+    /** Closes the connection if the filter no longer admits its peer. Called by the connection's event loop. */
     void recheck() {
         if (link == null || !link.channel().isActive()) {
             return;
         }
-        if (!shared.filter().admits(link.peer(), addressOf(link.channel()))) {
-            shared.counters().add(PeerEvent.UNLISTED);
+        if (!linkContext.filter().admits(link.peer(), addressOf(link.channel()))) {
+            linkContext.counters().add(PeerEvent.UNLISTED);
             link.close("no longer in the host list");
         }
     }
 
-    private void receiveFirst(ChannelHandlerContext context, Frame frame) {
+    private void receiveHello(ChannelHandlerContext context, Frame frame) {
         if (!frame.hasHello()) {
-            close(context, PeerEvent.UNKNOWN_FRAME, "first frame is no hello");
+            close(context, PeerEvent.UNKNOWN_FRAME, "first frame is not a hello");
             return;
         }
         Hello hello = frame.getHello();
         if (hello.getProtocol() != PeerNetwork.PROTOCOL_VERSION) {
-            close(context, PeerEvent.PROTOCOL_MISMATCH, "protocol " + hello.getProtocol());
-        } else if (!isCalled(hello)) {
+            close(context, PeerEvent.PROTOCOL_MISMATCH, "remote protocol version " + hello.getProtocol());
+        } else if (!isExpectedPeer(hello)) {
             close(context, PeerEvent.WRONG_PEER, "answered by " + hello.getHost() + "/" + hello.getRole());
-        } else if (!shared.filter().admits(hello, addressOf(context.channel()))) {
+        } else if (!linkContext.filter().admits(hello, addressOf(context.channel()))) {
             close(context, PeerEvent.UNLISTED, "not in the host list");
         } else {
-            bringUp(context, hello);
+            establishLink(context, hello);
         }
     }
 
-    private boolean isCalled(Hello hello) {
-        return called == null || (hello.getHost().equals(called.host()) && hello.getRole() == called.role());
+    private boolean isExpectedPeer(Hello hello) {
+        return expectedPeer == null
+                || (hello.getHost().equals(expectedPeer.host()) && hello.getRole() == expectedPeer.role());
     }
 
-    private void bringUp(ChannelHandlerContext context, Hello hello) {
-        if (called == null) {
-            // Said only now: a caller that hears hello knows that it was accepted, and its backoff starts anew.
+    private void establishLink(ChannelHandlerContext context, Hello hello) {
+        if (expectedPeer == null) {
+            // Sent only after acceptance: this hello tells the connecting process that it was accepted, so that it
+            // resets its backoff.
             sendHello(context);
         }
-        decoder.allow(shared.limits().maxFrameBytes());
-        link = new Link(context.channel(), hello, shared);
-        shared.counters().add(PeerEvent.LINK_UP);
-        onUp.run();
-        shared.listener().linkUp(link);
-        long periodMillis = shared.limits().heartbeatMillis();
-        heartbeat = context.executor().scheduleAtFixedRate(this::beat, 0, periodMillis, TimeUnit.MILLISECONDS);
+        decoder.setMaxFrameBytes(linkContext.limits().maxFrameBytes());
+        link = new Link(context.channel(), hello, linkContext);
+        linkContext.counters().add(PeerEvent.LINK_UP);
+        onLinkUp.run();
+        linkContext.listener().linkUp(link);
+        long intervalMillis = linkContext.limits().heartbeatIntervalMillis();
+        heartbeat =
+                context.executor().scheduleAtFixedRate(this::sendHeartbeat, 0, intervalMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void beat() {
-        link.send(Frame.newBuilder().setHeartbeat(shared.heartbeats().get()).build());
+    private void sendHeartbeat() {
+        link.send(
+                Frame.newBuilder().setHeartbeat(linkContext.heartbeats().get()).build());
     }
 
     private void sendHello(ChannelHandlerContext context) {
-        Frame frame = Frame.newBuilder().setHello(shared.self()).build();
+        Frame frame = Frame.newBuilder().setHello(linkContext.self()).build();
         context.writeAndFlush(FrameEncoder.encode(context.alloc(), frame));
     }
 
@@ -152,17 +156,17 @@
         return !context.channel().isActive();
     }
 
-    private void close(ChannelHandlerContext context, PeerEvent kind, String detail) {
+    private void close(ChannelHandlerContext context, PeerEvent event, String detail) {
         if (!context.channel().isActive()) {
             return;
         }
-        shared.counters().add(kind);
-        reason = kind.metricName() + ": " + detail;
+        linkContext.counters().add(event);
+        reason = event.metricName() + ": " + detail;
         LOG.info("connection with {} closed, {}", context.channel().remoteAddress(), reason);
         context.close();
     }
 
-    private static PeerEvent kindOf(Throwable failure) {
+    private static PeerEvent eventOf(Throwable failure) {
         if (failure instanceof TooLongFrameException) {
             return PeerEvent.OVERSIZED;
         }
--- a/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkInitializer.java
+++ b/org.whinwharf.wire/src/main/java/org/whinwharf/wire/peer/internal/LinkInitializer.java
@@ -9,64 +9,68 @@
 import org.whinwharf.wire.peer.PeerAddress;
 import org.whinwharf.wire.peer.PeerEvent;
 
-/** Builds the pipeline of each connection. */
+/** Initialises the channel pipeline of each connection. */
 public final class LinkInitializer extends ChannelInitializer<Channel> {
-    private static final int FLUSHES_AT_ONCE = 64;
+    private static final int MAX_CONSOLIDATED_FLUSHES = 64;
 
-    private final LinkContext shared;
-    private final ConnectionGate gate;
-    private final PeerAddress called;
-    private final Runnable onUp;
+    private final LinkContext linkContext;
+    private final ConnectionRegistry registry;
+    private final PeerAddress expectedPeer;
+    private final Runnable onLinkUp;
 
-    private LinkInitializer(LinkContext shared, ConnectionGate gate, PeerAddress called, Runnable onUp) {
-        this.shared = shared;
-        this.gate = gate;
-        this.called = called;
-        this.onUp = onUp;
+    private LinkInitializer(
+            LinkContext linkContext, ConnectionRegistry registry, PeerAddress expectedPeer, Runnable onLinkUp) {
+        this.linkContext = linkContext;
+        this.registry = registry;
+        this.expectedPeer = expectedPeer;
+        this.onLinkUp = onLinkUp;
     }
 
     /**
-     * Makes the initializer of connections that others make.
+     * Returns an initialiser for inbound connections.
      *
-     * @param shared what all links share
-     * @param gate lets connections in
-     * @return an initializer
+     * @param linkContext state that all links share
+     * @param registry admits inbound connections
+     * @return an initialiser
      */
-    public static LinkInitializer accepting(LinkContext shared, ConnectionGate gate) {
-        return new LinkInitializer(shared, gate, null, () -> {});
+    public static LinkInitializer inbound(LinkContext linkContext, ConnectionRegistry registry) {
+        return new LinkInitializer(linkContext, registry, null, () -> {});
     }
 
-    static LinkInitializer calling(LinkContext shared, ConnectionGate gate, PeerAddress called, Runnable onUp) {
-        return new LinkInitializer(shared, gate, called, onUp);
+    static LinkInitializer outbound(
+            LinkContext linkContext, ConnectionRegistry registry, PeerAddress expectedPeer, Runnable onLinkUp) {
+        return new LinkInitializer(linkContext, registry, expectedPeer, onLinkUp);
     }
 
     @Override
     protected void initChannel(Channel channel) {
-        if (called != null) {
-            gate.add(channel);
-        } else if (gate.letIn(channel)) {
-            shared.counters().add(PeerEvent.ACCEPTED);
+        if (expectedPeer != null) {
+            registry.add(channel);
+        } else if (registry.admit(channel)) {
+            linkContext.counters().add(PeerEvent.ACCEPTED);
         } else {
             channel.close();
             return;
         }
-        build(channel.pipeline(), shared, called, onUp);
+        addHandlers(channel.pipeline(), linkContext, expectedPeer, onLinkUp);
     }
 
     /**
      * Adds the handlers of one connection.
      *
-     * @param pipeline where to add them
-     * @param shared what all links share
-     * @param called the peer that this process called; null when the other side called
-     * @param onUp is run once when the link comes up
+     * @param pipeline pipeline of the connection
+     * @param linkContext state that all links share
+     * @param expectedPeer peer that this process connected to; null for an inbound connection
+     * @param onLinkUp runs once when the link comes up
      */
-    public static void build(ChannelPipeline pipeline, LinkContext shared, PeerAddress called, Runnable onUp) {
-        FrameDecoder decoder = new FrameDecoder(shared.counters());
-        pipeline.addLast(new FlushConsolidationHandler(FLUSHES_AT_ONCE, true));
+    public static void addHandlers(
+            ChannelPipeline pipeline, LinkContext linkContext, PeerAddress expectedPeer, Runnable onLinkUp) {
+        FrameDecoder decoder = new FrameDecoder(linkContext.counters());
+        pipeline.addLast(new FlushConsolidationHandler(MAX_CONSOLIDATED_FLUSHES, true));
         pipeline.addLast(decoder);
-        // After the decoder, so that only whole frames count as life: a drip of single bytes keeps no link open.
-        pipeline.addLast(new IdleStateHandler(shared.limits().idleMillis(), 0, 0, TimeUnit.MILLISECONDS));
-        pipeline.addLast(new LinkHandler(shared, decoder, called, onUp));
+        // Placed after the decoder, so that only complete frames reset the idle timeout: a sender of single bytes
+        // cannot keep a link open.
+        pipeline.addLast(new IdleStateHandler(linkContext.limits().idleTimeoutMillis(), 0, 0, TimeUnit.MILLISECONDS));
+        pipeline.addLast(new LinkHandler(linkContext, decoder, expectedPeer, onLinkUp));
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Home.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Home.java
@@ -7,43 +7,46 @@
 import org.whinwharf.routing.RoutingPolicy;
 
 /**
- * Home of requests: the one place that may send them.
+ * State machine of the requests of one home.
  *
- * <p>A request leaves at most once. It is told "not run" only after its {@link SendGate} was closed or before one was
- * made, so that it cannot leave any more. Each caller gets exactly one last action. Not safe for use by several
- * threads.
+ * <p>The home of a request is the entry process that accepted it, the only process that may dispatch it. A sealed
+ * {@link org.whinwharf.ticket.Ticket} names the home, and other entry processes relay requests under that ticket to it.
+ *
+ * <p>A request is sent at most once. A caller is told "not run" only before a {@link SendGate} was created for the
+ * request or after it was closed, because the request cannot be sent any more then, or when the target rejected the
+ * request without admitting it. Each caller receives exactly one final action. Not thread-safe.
  */
 public final class Home {
     private final HomeState state;
     private final Queueing queueing;
     private final Delivery delivery;
-    private final Intake intake;
-    private final Ending ending;
+    private final CallerEvents callerEvents;
+    private final RequestCompletion completion;
     private final HomeEventHandler handler = new Dispatcher();
 
     /**
      * Creates a home without requests.
      *
-     * @param settings bounds and waits
-     * @param view what is in force
-     * @param policy how a slice is chosen
+     * @param settings limits and timeouts
+     * @param view view of the active document and the host list
+     * @param policy policy that selects a slice
      * @param random source of random numbers
      */
     public Home(HomeSettings settings, HomeView view, RoutingPolicy policy, UniformRandomProvider random) {
         state = new HomeState(settings, view);
         OwnerLinks owners = new OwnerLinks(state);
-        ending = new Ending(state, owners);
-        queueing = new Queueing(state, owners, ending, policy, random);
-        delivery = new Delivery(state, ending, queueing, random);
-        intake = new Intake(state, ending, queueing, delivery);
+        completion = new RequestCompletion(state, owners);
+        queueing = new Queueing(state, owners, completion, policy, random);
+        delivery = new Delivery(state, completion, queueing, random);
+        callerEvents = new CallerEvents(state, completion, queueing, delivery);
     }
 
     /**
      * Handles an event.
      *
-     * @param event what happened
-     * @param nowMillis this host's monotonic clock
-     * @return what is to be done, in this order
+     * @param event the event
+     * @param nowMillis current time of this host's monotonic clock, in milliseconds
+     * @return actions to execute, in this order
      */
     public List<HomeAction> handle(HomeEvent event, long nowMillis) {
         state.nowMillis = nowMillis;
@@ -52,29 +55,29 @@
     }
 
     /**
-     * Counts the requests that were not sent yet.
+     * Counts the accepted requests that were not sent yet.
      *
      * @return count
      */
     public int waitingCount() {
-        return (int) state.live.values().stream()
+        return (int) state.liveById.values().stream()
                 .filter(request -> request.phase.isBeforeSending())
                 .count();
     }
 
     /**
-     * Counts the requests that neither ended nor were turned away.
+     * Counts the accepted requests that have not ended.
      *
      * @return count
      */
     public int liveCount() {
-        return state.live.size();
+        return state.liveById.size();
     }
 
     /**
      * Returns the text form of a request's identifier.
      *
-     * @param sequence request
+     * @param sequence number of the request, unique in this incarnation
      * @return identifier
      */
     public String requestId(long sequence) {
@@ -82,62 +85,62 @@
     }
 
     private void withLive(long sequence, Consumer<Request> work) {
-        // What comes for a request that has ended is late news and changes nothing.
-        Request request = state.live.get(sequence);
+        // An event for a request that has ended is stale and is ignored.
+        Request request = state.liveById.get(sequence);
         if (request != null) {
             work.accept(request);
         }
     }
 
-    private void due(Request request) {
+    private void handleTimer(Request request) {
         if (state.nowMillis >= request.deadlineAtMillis) {
-            ending.cancel(request, ErrorKind.DEADLINE_WAITING, ErrorKind.DEADLINE_RUNNING);
-        } else if (state.nowMillis >= request.orphanEndsAtMillis) {
-            intake.graceEnded(request);
+            completion.cancel(request, ErrorKind.DEADLINE_WAITING, ErrorKind.DEADLINE_RUNNING);
+        } else if (state.nowMillis >= request.rejoinGraceEndsAtMillis) {
+            callerEvents.rejoinGraceExpired(request);
         } else if (state.nowMillis >= request.retryAtMillis) {
             queueing.retry(request);
         } else if (state.nowMillis >= request.reconsiderAtMillis) {
-            queueing.reconsider(request);
+            queueing.moveToBetterSlice(request);
         }
         if (request.phase != RequestPhase.ENDED) {
-            state.schedule(request);
+            state.scheduleTimer(request);
         }
     }
 
     private final class Dispatcher implements HomeEventHandler {
         @Override
         public void on(HomeEvent.Submitted event) {
-            intake.submitted(event.caller(), event.submission());
+            callerEvents.submitted(event.caller(), event.submission());
         }
 
         @Override
         public void on(HomeEvent.Rejoined event) {
-            intake.rejoined(event.caller(), event.sequence(), event.organisation(), event.fromIndex());
+            callerEvents.rejoined(event.caller(), event.sequence(), event.organisation(), event.fromIndex());
         }
 
         @Override
         public void on(HomeEvent.LookedUp event) {
-            intake.lookedUp(event.caller(), event.sequence(), event.organisation());
+            callerEvents.lookedUp(event.caller(), event.sequence(), event.organisation());
         }
 
         @Override
         public void on(HomeEvent.NumberLookedUp event) {
-            intake.numberLookedUp(event.caller(), event.ticketNumber(), event.organisation());
+            callerEvents.numberLookedUp(event.caller(), event.ticketNumber(), event.organisation());
         }
 
         @Override
-        public void on(HomeEvent.CancelAsked event) {
-            intake.cancelAsked(event.caller(), event.sequence(), event.organisation());
+        public void on(HomeEvent.CancelRequested event) {
+            callerEvents.cancelRequested(event.caller(), event.sequence(), event.organisation());
         }
 
         @Override
-        public void on(HomeEvent.CallerGone event) {
-            intake.callerGone(event.caller());
+        public void on(HomeEvent.CallerDisconnected event) {
+            callerEvents.callerDisconnected(event.caller());
         }
 
         @Override
         public void on(HomeEvent.CallerSlow event) {
-            intake.callerSlow(event.caller());
+            callerEvents.callerSlow(event.caller());
         }
 
         @Override
@@ -156,18 +159,18 @@
         }
 
         @Override
-        public void on(HomeEvent.StatusHeard event) {
-            state.board.hear(event.status(), state.nowMillis);
+        public void on(HomeEvent.StatusReceived event) {
+            state.sliceTracker.updateStatus(event.status(), state.nowMillis);
         }
 
         @Override
-        public void on(HomeEvent.OwnerUp event) {
-            queueing.ownerUp(event.owner());
+        public void on(HomeEvent.OwnerConnected event) {
+            queueing.ownerConnected(event.owner());
         }
 
         @Override
-        public void on(HomeEvent.OwnerDown event) {
-            queueing.ownerDown(event.owner());
+        public void on(HomeEvent.OwnerDisconnected event) {
+            queueing.ownerDisconnected(event.owner());
         }
 
         @Override
@@ -202,8 +205,8 @@
         }
 
         @Override
-        public void on(HomeEvent.TokenArrived event) {
-            withLive(event.sequence(), request -> delivery.token(request, event.token()));
+        public void on(HomeEvent.TokenReceived event) {
+            withLive(event.sequence(), request -> delivery.tokenReceived(request, event.token()));
         }
 
         @Override
@@ -224,14 +227,14 @@
         }
 
         @Override
-        public void on(HomeEvent.StopAsked event) {
+        public void on(HomeEvent.StopRequested event) {
             state.leaving = true;
         }
 
         @Override
         public void on(HomeEvent.Ticked event) {
             state.tickets.expire(state.nowMillis);
-            state.takeDue().forEach(Home.this::due);
+            state.takeRequestsWithExpiredTimer().forEach(Home.this::handleTimer);
         }
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/home/Queueing.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/Queueing.java
@@ -12,121 +12,127 @@
 import org.whinwharf.wire.message.Refusal;
 import org.whinwharf.wire.message.SliceId;
 
-/** Finds an owner for each waiting request and handles what owners answer. */
+/** Queues each waiting request at the owner of a slice and handles the messages of owners. */
 final class Queueing {
     private final HomeState state;
     private final OwnerLinks owners;
-    private final Ending ending;
+    private final RequestCompletion completion;
     private final RoutingPolicy policy;
     private final UniformRandomProvider random;
 
-    Queueing(HomeState state, OwnerLinks owners, Ending ending, RoutingPolicy policy, UniformRandomProvider random) {
+    Queueing(
+            HomeState state,
+            OwnerLinks owners,
+            RequestCompletion completion,
+            RoutingPolicy policy,
+            UniformRandomProvider random) {
         this.state = state;
         this.owners = owners;
-        this.ending = ending;
+        this.completion = completion;
         this.policy = policy;
         this.random = random;
     }
 
-    /** Queues a waiting request at the owner of the slice that suits it best. */
+    /** Queues a waiting request at the connected owner of the slice that the routing policy selects. */
     void place(Request request) {
         request.retryAtMillis = Long.MAX_VALUE;
         List<SliceId> inService = inService(request);
-        if (request.barrenSlices.containsAll(inService)) {
-            Outcome outcome = state.failed(ErrorKind.NO_TARGET, HomeText.get("no-target-of-the-service-may-be-used"));
-            ending.end(request, outcome, FinishKind.UNUSED);
+        if (request.slicesWithoutTarget.containsAll(inService)) {
+            Outcome outcome = state.failure(ErrorKind.NO_TARGET, HomeText.get("no-target-of-the-service-may-be-used"));
+            completion.end(request, outcome, FinishKind.UNUSED);
             return;
         }
-        List<SliceId> open = inService.stream()
+        List<SliceId> candidates = inService.stream()
                 .filter(slice -> !request.excludedSlices.contains(slice))
-                .filter(slice -> !request.barrenSlices.contains(slice))
-                .filter(slice -> owners.reachable(slice, request.refusingOwners).isPresent())
+                .filter(slice -> !request.slicesWithoutTarget.contains(slice))
+                .filter(slice ->
+                        owners.connectedOwner(slice, request.refusingOwners).isPresent())
                 .toList();
-        if (open.isEmpty()) {
-            request.retryAtMillis = state.nowMillis + state.settings.placeRetryMillis();
+        if (candidates.isEmpty()) {
+            request.retryAtMillis = state.nowMillis + state.settings.placementRetryIntervalMillis();
             state.note(request, HomeNote.UNPLACED, HomeText.get("no-owner-can-be-reached"));
-            state.schedule(request);
+            state.scheduleTimer(request);
             return;
         }
-        enqueue(request, choose(request, open));
+        enqueue(request, choose(request, candidates));
     }
 
-    /** Starts another round for a request that found no owner. */
+    /** Places a request again, without regard to the slices and owners excluded so far. */
     void retry(Request request) {
-        request.beginRound();
+        request.clearExclusions();
         place(request);
     }
 
-    /** Moves a request that waits long to a slice with room, or to one that serves its tier sooner, if there is one. */
-    void reconsider(Request request) {
-        request.reconsiderAtMillis = state.nowMillis + state.settings.reconsiderMillis();
+    /** Moves a request that waits long to a slice with available slots or, failing that, with a shorter wait. */
+    void moveToBetterSlice(Request request) {
+        request.reconsiderAtMillis = state.nowMillis + state.settings.reconsiderIntervalMillis();
         long waitedMillis = state.nowMillis - request.queuedAtMillis;
-        state.board.stalled(request.slice, waitedMillis, state.nowMillis);
-        SliceId present = request.slice;
-        Optional<SliceId> other = otherWithRoom(request)
-                .or(() -> otherWithShorterWait(request, waitedMillis))
-                .filter(slice -> !slice.equals(present));
-        if (other.isPresent() && !state.board.hasRoom(present, state.nowMillis)) {
-            ending.withdraw(request);
-            enqueue(request, other.get());
+        state.sliceTracker.recordStall(request.slice, waitedMillis, state.nowMillis);
+        SliceId current = request.slice;
+        Optional<SliceId> alternative = alternativeWithSlots(request)
+                .or(() -> alternativeWithShorterWait(request, waitedMillis))
+                .filter(slice -> !slice.equals(current));
+        if (alternative.isPresent() && !state.sliceTracker.hasAvailableSlots(current, state.nowMillis)) {
+            completion.withdraw(request);
+            enqueue(request, alternative.get());
         }
     }
 
     void granted(String owner, Grant grant) {
-        state.board.granted(grant.getSlice());
-        Request request = state.live.get(grant.getRequest());
-        if (request == null || !isAwaited(request, owner, grant)) {
+        state.sliceTracker.recordGrant(grant.getSlice());
+        Request request = state.liveById.get(grant.getRequest());
+        if (request == null || !isExpected(request, owner, grant)) {
             owners.returnUnused(owner, grant);
             return;
         }
         request.leaveQueue();
-        long grantEndsMillis = grant.getEchoMillis() + grant.getGoodMillis();
-        Optional<String> obstacle = obstacle(request, grant, grantEndsMillis);
-        if (obstacle.isPresent()) {
-            state.note(request, HomeNote.GRANT_RETURNED, obstacle.get());
+        long grantExpiresAtMillis = grant.getEchoMillis() + grant.getGoodMillis();
+        Optional<String> error = grantError(request, grant, grantExpiresAtMillis);
+        if (error.isPresent()) {
+            state.note(request, HomeNote.GRANT_RETURNED, error.get());
             owners.returnUnused(owner, grant);
             requeue(request);
             return;
         }
-        dispatch(request, owner, grant, grantEndsMillis);
+        dispatch(request, owner, grant, grantExpiresAtMillis);
     }
 
-    /** Takes a request back that the gate kept from leaving. */
-    void notSent(Request request, String why) {
+    /** Returns the grant of a request that was not sent, and queues the request again. */
+    void notSent(Request request, String reason) {
         if (request.phase != RequestPhase.GRANTED || !request.gate.close()) {
             return;
         }
-        state.note(request, HomeNote.GRANT_RETURNED, why);
+        state.note(request, HomeNote.GRANT_RETURNED, reason);
         owners.returnUnused(request.grantOwner, request.grant);
         request.dropGrant();
         request.phase = RequestPhase.WAITING;
         requeue(request);
     }
 
-    /** Queues a request anew whose connection to the target never came about. */
+    /** Queues a request again after the connection to its target failed. */
     void connectFailed(Request request) {
         owners.finished(request, FinishKind.FAILED, state.nowMillis);
         request.dropGrant();
         request.phase = RequestPhase.WAITING;
-        if (state.budget.tryRetry(state.view.retryFloorPerSecond(), state.nowMillis)) {
+        if (state.retryBudget.tryAcquire(state.view.retryFloorPerSecond(), state.nowMillis)) {
             requeue(request);
         } else {
-            // Turning it away would shed a high tier while lower ones wait. It waits instead, so that many dead targets
-            // at once do not make a storm of messages.
-            request.retryAtMillis = state.nowMillis + state.settings.comeBackMillis();
-            state.schedule(request);
+            // A rejection here could shed a high tier while lower tiers wait. The request is delayed instead, so that
+            // many targets that fail at once do not cause a storm of messages.
+            request.retryAtMillis = state.nowMillis + state.settings.defaultRetryAfterMillis();
+            state.scheduleTimer(request);
         }
     }
 
     void recalled(Recall recall) {
-        Request request = state.live.get(recall.getRequest());
+        Request request = state.liveById.get(recall.getRequest());
         if (request != null && request.grant != null && request.grant.getGrant() == recall.getGrant()) {
             notSent(request, HomeText.get("the-owner-called-the-grant-back"));
         }
     }
 
     void refused(String owner, Refusal refusal) {
-        Request request = state.live.get(refusal.getRequest());
+        Request request = state.liveById.get(refusal.getRequest());
         if (request == null
                 || !owner.equals(request.owner)
                 || !refusal.getSlice().equals(request.slice)) {
@@ -141,24 +147,24 @@
         switch (refusal.getReason()) {
             case NOT_OWNER -> placeElsewhere(request, request.excludedSlices, slice);
             case OWNER_LEAVING -> placeElsewhere(request, request.refusingOwners, owner);
-            case NO_TARGET -> placeElsewhere(request, request.barrenSlices, slice);
-            case SHED -> tryOnceElsewhere(request, slice, ErrorKind.SHED, HomeText.get("no-room"), refusal);
-            // One owner's queue being too long says nothing of the others, which may keep lower tiers.
+            case NO_TARGET -> placeElsewhere(request, request.slicesWithoutTarget, slice);
+            case SHED -> retryOnceElsewhere(request, slice, ErrorKind.SHED, HomeText.get("no-room"), refusal);
+            // The queue of one owner is too long; other owners may still serve lower tiers.
             case HOPELESS ->
-                tryOnceElsewhere(
+                retryOnceElsewhere(
                         request, slice, ErrorKind.HOPELESS, HomeText.get("the-deadline-cannot-be-met"), refusal);
-            case BELOW_FLOOR -> turnAway(request, ErrorKind.SHED, HomeText.get("higher-tiers-need-the-room"), refusal);
+            case BELOW_FLOOR -> reject(request, ErrorKind.SHED, HomeText.get("higher-tiers-need-the-room"), refusal);
             default -> placeElsewhere(request, request.excludedSlices, slice);
         }
     }
 
-    void ownerUp(String owner) {
-        owners.up(owner);
+    void ownerConnected(String owner) {
+        owners.connected(owner);
         state.liveRequests().stream().filter(Queueing::isUnplaced).forEach(this::retry);
     }
 
-    void ownerDown(String owner) {
-        owners.down(owner);
+    void ownerDisconnected(String owner) {
+        owners.disconnected(owner);
         for (Request request : state.liveRequests()) {
             if (owner.equals(request.owner)) {
                 request.leaveQueue();
@@ -170,7 +176,7 @@
     void viewChanged() {
         owners.viewChanged();
         for (Request request : state.liveRequests()) {
-            if (request.phase == RequestPhase.GRANTED && !state.view.isUsable(request.place.target())) {
+            if (request.phase == RequestPhase.GRANTED && !state.view.isUsable(request.location.target())) {
                 notSent(request, HomeText.get("the-target-may-not-be-used-any-more"));
             } else if (request.phase == RequestPhase.WAITING) {
                 moveIfNeeded(request);
@@ -179,23 +185,23 @@
     }
 
     private void moveIfNeeded(Request request) {
-        if (request.owner != null && isRightlyQueued(request)) {
+        if (request.owner != null && isQueuedAtCurrentOwner(request)) {
             return;
         }
-        ending.withdraw(request);
+        completion.withdraw(request);
         retry(request);
     }
 
-    private boolean isRightlyQueued(Request request) {
+    private boolean isQueuedAtCurrentOwner(Request request) {
         boolean inService = state.view.isInService(request.slice.getDataCentre());
-        Optional<String> owner = owners.reachable(request.slice, request.refusingOwners);
+        Optional<String> owner = owners.connectedOwner(request.slice, request.refusingOwners);
         return inService && owner.filter(request.owner::equals).isPresent();
     }
 
-    // A process that was paused wakes with old beliefs: the deadline, the grant, the data centre and the target are
-    // all looked at again here, and time once more by the gate right before the request leaves.
-    private Optional<String> obstacle(Request request, Grant grant, long grantEndsMillis) {
-        if (state.nowMillis >= grantEndsMillis) {
+    // A process that was paused resumes with stale state. The deadline, the grant, the data centre and the target are
+    // checked again here; the send gate checks the time once more immediately before the request is sent.
+    private Optional<String> grantError(Request request, Grant grant, long grantExpiresAtMillis) {
+        if (state.nowMillis >= grantExpiresAtMillis) {
             return Optional.of(HomeText.get("the-grant-had-run-out"));
         }
         if (state.nowMillis >= request.deadlineAtMillis) {
@@ -207,89 +213,95 @@
         return Optional.empty();
     }
 
-    private static boolean isAwaited(Request request, String owner, Grant grant) {
+    private static boolean isExpected(Request request, String owner, Grant grant) {
         return request.phase == RequestPhase.WAITING
                 && owner.equals(request.owner)
                 && grant.getSlice().equals(request.slice);
     }
 
-    private void dispatch(Request request, String owner, Grant grant, long grantEndsMillis) {
+    private void dispatch(Request request, String owner, Grant grant, long grantExpiresAtMillis) {
         request.phase = RequestPhase.GRANTED;
         request.grant = grant;
         request.grantOwner = owner;
-        request.gate = new SendGate(Math.min(grantEndsMillis, request.deadlineAtMillis));
+        request.gate = new SendGate(Math.min(grantExpiresAtMillis, request.deadlineAtMillis));
         String stream = state.requestId(request.sequence);
-        request.place = new Place(grant.getTarget(), grant.getAddress(), grant.getPort(), stream);
+        request.location = new RequestLocation(grant.getTarget(), grant.getAddress(), grant.getPort(), stream);
         state.note(request, HomeNote.GRANTED, HomeText.get("granted", grant.getTarget(), owner));
-        state.emit(new HomeAction.Dispatch(request.sequence, request.place, request.submission, request.gate));
+        state.emit(new HomeAction.Dispatch(request.sequence, request.location, request.submission, request.gate));
     }
 
     private void requeue(Request request) {
         if (state.nowMillis >= request.deadlineAtMillis) {
-            ending.cancel(request, ErrorKind.DEADLINE_WAITING, ErrorKind.DEADLINE_RUNNING);
+            completion.cancel(request, ErrorKind.DEADLINE_WAITING, ErrorKind.DEADLINE_RUNNING);
             return;
         }
         retry(request);
     }
 
-    private <T> void placeElsewhere(Request request, Set<T> avoided, T what) {
-        avoided.add(what);
+    private <T> void placeElsewhere(Request request, Set<T> exclusions, T excluded) {
+        exclusions.add(excluded);
         place(request);
     }
 
-    private void tryOnceElsewhere(Request request, SliceId slice, ErrorKind kind, String detail, Refusal refusal) {
+    private void retryOnceElsewhere(Request request, SliceId slice, ErrorKind kind, String detail, Refusal refusal) {
         request.excludedSlices.add(slice);
-        long leftMillis = request.deadlineAtMillis - state.nowMillis;
-        Optional<SliceId> other = request.triedElsewhere
+        long remainingMillis = request.deadlineAtMillis - state.nowMillis;
+        Optional<SliceId> alternative = request.retriedElsewhere
                 ? Optional.empty()
-                : otherWithRoom(request).or(() -> otherWithShorterWait(request, leftMillis / 2));
-        boolean mayRetry =
-                other.isPresent() && state.budget.tryRetry(state.view.retryFloorPerSecond(), state.nowMillis);
+                : alternativeWithSlots(request).or(() -> alternativeWithShorterWait(request, remainingMillis / 2));
+        boolean mayRetry = alternative.isPresent()
+                && state.retryBudget.tryAcquire(state.view.retryFloorPerSecond(), state.nowMillis);
         if (mayRetry) {
-            request.triedElsewhere = true;
-            enqueue(request, other.get());
+            request.retriedElsewhere = true;
+            enqueue(request, alternative.get());
         } else {
-            turnAway(request, kind, detail, refusal);
+            reject(request, kind, detail, refusal);
         }
     }
 
-    private Optional<SliceId> otherWithRoom(Request request) {
-        List<SliceId> roomy = inService(request).stream()
+    private Optional<SliceId> alternativeWithSlots(Request request) {
+        List<SliceId> candidates = inService(request).stream()
                 .filter(slice -> !request.excludedSlices.contains(slice))
-                .filter(slice -> state.board.hasRoom(slice, state.nowMillis))
-                .filter(slice -> owners.reachable(slice, request.refusingOwners).isPresent())
+                .filter(slice -> state.sliceTracker.hasAvailableSlots(slice, state.nowMillis))
+                .filter(slice ->
+                        owners.connectedOwner(slice, request.refusingOwners).isPresent())
                 .toList();
-        return roomy.isEmpty() ? Optional.empty() : Optional.of(choose(request, roomy));
+        return candidates.isEmpty() ? Optional.empty() : Optional.of(choose(request, candidates));
     }
 
-    // Where all slices are full, one may hold back high tiers while another still serves low ones: the queues of two
-    // owners know nothing of each other. A request moves to an owner that expects to serve its tier clearly sooner than
-    // this one has let it wait; it must wait again before it moves again.
-    private Optional<SliceId> otherWithShorterWait(Request request, long waitedMillis) {
-        long boundMillis = waitedMillis - state.settings.reconsiderMillis();
+    // When all slices are full, one owner may hold back high tiers while another still serves low ones, because owners
+    // do not know the queues of each other. A request moves to a slice whose estimated wait for its tier is shorter, by
+    // at least the reconsider interval, than the time it has waited; after a move it must wait that interval again.
+    private Optional<SliceId> alternativeWithShorterWait(Request request, long waitedMillis) {
+        long maxWaitMillis = waitedMillis - state.settings.reconsiderIntervalMillis();
         int rank = request.submission.tierRank();
-        List<SliceId> shorter = inService(request).stream()
+        List<SliceId> candidates = inService(request).stream()
                 .filter(slice -> !slice.equals(request.slice))
                 .filter(slice -> !request.excludedSlices.contains(slice))
-                .filter(slice -> state.board.servesWithin(slice, rank, boundMillis, state.nowMillis))
-                .filter(slice -> owners.reachable(slice, request.refusingOwners).isPresent())
+                .filter(slice -> state.sliceTracker.servesWithin(slice, rank, maxWaitMillis, state.nowMillis))
+                .filter(slice ->
+                        owners.connectedOwner(slice, request.refusingOwners).isPresent())
                 .toList();
-        return shorter.isEmpty() ? Optional.empty() : Optional.of(choose(request, shorter));
+        return candidates.isEmpty() ? Optional.empty() : Optional.of(choose(request, candidates));
     }
 
-    private void turnAway(Request request, ErrorKind kind, String detail, Refusal refusal) {
-        long comeBackMillis =
-                refusal.getComeBackMillis() > 0 ? refusal.getComeBackMillis() : state.settings.comeBackMillis();
-        ending.end(request, Outcome.failed(kind, detail, comeBackMillis, ""), FinishKind.UNUSED);
+    private void reject(Request request, ErrorKind kind, String detail, Refusal refusal) {
+        long retryAfterMillis = refusal.getComeBackMillis() > 0
+                ? refusal.getComeBackMillis()
+                : state.settings.defaultRetryAfterMillis();
+        completion.end(request, Outcome.failed(kind, detail, retryAfterMillis, ""), FinishKind.UNUSED);
     }
 
     private void enqueue(Request request, SliceId slice) {
         owners.enqueue(
-                request, slice, owners.reachable(slice, request.refusingOwners).orElseThrow());
+                request,
+                slice,
+                owners.connectedOwner(slice, request.refusingOwners).orElseThrow());
     }
 
     private SliceId choose(Request request, List<SliceId> slices) {
-        return policy.choose(slices, request.routing, state.board, state.view::distanceMillis, random, state.nowMillis);
+        return policy.choose(
+                slices, request.routing, state.sliceTracker, state.view::distanceMillis, random, state.nowMillis);
     }
 
     private List<SliceId> inService(Request request) {
