--- a/org.whinwharf/src/main/java/org/whinwharf/home/Ending.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/RequestCompletion.java
@@ -7,25 +7,25 @@
 import org.whinwharf.wire.message.Frame;
 import org.whinwharf.wire.message.Withdraw;
 
-/** Ends requests: each of them once, with one outcome, told to every caller that still listens. */
-final class Ending {
+/** Ends each request once, with one outcome, and sends the outcome to all its remaining callers. */
+final class RequestCompletion {
     private final HomeState state;
     private final OwnerLinks owners;
 
-    Ending(HomeState state, OwnerLinks owners) {
+    RequestCompletion(HomeState state, OwnerLinks owners) {
         this.state = state;
         this.owners = owners;
     }
 
     /**
-     * Makes sure that a request that was not sent never will be.
+     * Prevents the dispatch of a request that was not sent yet.
      *
-     * <p>The sender may be past the gate although no word of it has come back yet. The request then counts as sent: to
-     * say "not run" here would be a lie that a caller notices as a booking made twice.
+     * <p>The sender may have passed the gate before the home receives the event that says so. The request then counts
+     * as sent: if its caller were told "not run", it would submit the request again, and a booking would be made twice.
      *
-     * @return true when it did not leave and never will
+     * @return true when the request was not sent and never will be
      */
-    boolean stopUnsent(Request request) {
+    boolean preventDispatch(Request request) {
         if (request.phase == RequestPhase.WAITING) {
             return true;
         }
@@ -39,55 +39,55 @@
         return false;
     }
 
-    /** Ends a request early; what it is told depends on whether it left. */
-    void cancel(Request request, ErrorKind whileWaiting, ErrorKind whileRunning) {
-        if (stopUnsent(request)) {
-            end(request, state.failed(whileWaiting, HomeText.get("the-request-waited")), FinishKind.UNUSED);
+    /** Ends a request early, with a different error for a request that was already sent. */
+    void cancel(Request request, ErrorKind errorIfWaiting, ErrorKind errorIfRunning) {
+        if (preventDispatch(request)) {
+            end(request, state.failure(errorIfWaiting, HomeText.get("the-request-waited")), FinishKind.UNUSED);
             return;
         }
-        state.emit(new HomeAction.CancelAtTarget(request.sequence, request.place, request.submission.isEngine()));
-        fail(request, whileRunning, HomeText.get("the-target-was-at-work"), FinishKind.CANCELLED);
+        state.emit(new HomeAction.CancelAtTarget(request.sequence, request.location, request.submission.isEngine()));
+        fail(request, errorIfRunning, HomeText.get("the-target-was-at-work"), FinishKind.CANCELLED);
     }
 
-    /** Ends a request that was sent. */
+    /** Ends a sent request with an error. */
     void fail(Request request, ErrorKind kind, String detail, FinishKind finish) {
-        String target = request.place == null ? "" : request.place.target();
-        end(request, Outcome.failed(kind, detail, state.settings.comeBackMillis(), target), finish);
+        String target = request.location == null ? "" : request.location.target();
+        end(request, Outcome.failed(kind, detail, state.settings.defaultRetryAfterMillis(), target), finish);
     }
 
-    /** Ends a request whose answer is whole. */
+    /** Ends a request whose answer is complete. */
     void complete(Request request, Answer answer) {
-        state.emit(new HomeAction.KeepAnswer(request.sequence, answer));
-        Outcome outcome = Outcome.whole(request.place.target(), request.assembler.nextIndex());
+        state.emit(new HomeAction.CacheAnswer(request.sequence, answer));
+        Outcome outcome = Outcome.completed(request.location.target(), request.assembler.nextIndex());
         end(request, outcome, FinishKind.COMPLETED);
     }
 
     /** Ends a request with any outcome. */
     void end(Request request, Outcome outcome, FinishKind finish) {
-        boolean left = request.wasSent();
-        if (outcome.ran() == Ran.NOT_RUN && left && finish != FinishKind.REFUSED_BY_TARGET) {
-            throw new IllegalStateException("not run was said of a request that left: " + outcome.detail());
+        boolean sent = request.wasSent();
+        if (outcome.ran() == Ran.NOT_RUN && sent && finish != FinishKind.REFUSED_BY_TARGET) {
+            throw new IllegalStateException("outcome \"not run\" for a request that was sent: " + outcome.detail());
         }
         withdraw(request);
         if (request.grant != null) {
             owners.finished(request, finish, state.nowMillis);
         }
-        if (left) {
+        if (sent) {
             state.emit(new HomeAction.ReleaseConnection(request.sequence));
         }
         request.phase = RequestPhase.ENDED;
-        state.live.remove(request.sequence);
+        state.liveById.remove(request.sequence);
         state.recordEnded(request.sequence, request.submission, outcome);
-        tellCallers(request, outcome);
+        notifyCallers(request, outcome);
         state.note(
                 request,
                 HomeNote.ENDED,
                 outcome.error().map(ErrorKind::wireName).orElse("whole"));
         RequestTimes times = request.times(state.nowMillis);
-        state.emit(new HomeAction.Measure(request.sequence, request.submission, outcome, times));
+        state.emit(new HomeAction.RecordMetrics(request.sequence, request.submission, outcome, times));
     }
 
-    /** Takes a request out of the queue it waits in. */
+    /** Withdraws a request from the queue of its slice owner. */
     void withdraw(Request request) {
         if (request.owner == null) {
             return;
@@ -96,19 +96,19 @@
                 .setSlice(request.slice)
                 .setRequest(request.sequence)
                 .build();
-        owners.tell(request.owner, Frame.newBuilder().setWithdraw(withdraw).build());
+        owners.send(request.owner, Frame.newBuilder().setWithdraw(withdraw).build());
         request.leaveQueue();
     }
 
-    private void tellCallers(Request request, Outcome outcome) {
+    private void notifyCallers(Request request, Outcome outcome) {
         for (long caller : request.callers.keySet()) {
             state.requestOfCaller.remove(caller);
-            tell(caller, request.sequence, outcome);
+            notifyCaller(caller, request.sequence, outcome);
         }
         request.callers.clear();
     }
 
-    private void tell(long caller, long sequence, Outcome outcome) {
+    private void notifyCaller(long caller, long sequence, Outcome outcome) {
         Optional<ErrorKind> error = outcome.error();
         if (error.isPresent()) {
             state.emit(new HomeAction.AnswerError(caller, sequence, outcome));
--- a/org.whinwharf/src/main/java/org/whinwharf/home/RetryBudget.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/RetryBudget.java
@@ -1,8 +1,8 @@
 package org.whinwharf.home;
 
 /**
- * Allowance for retries, fed by fresh requests and by time. Without it each overload grows by its own retries, and the
- * fleet stays down after the cause is gone.
+ * Budget for retries, replenished by new requests and over time. Without a budget, retries amplify each overload and
+ * the fleet stays overloaded after the cause is gone.
  */
 final class RetryBudget {
     private static final double MAX_ALLOWANCE = 100;
@@ -11,16 +11,16 @@
     private double allowance;
     private long lastMillis = Long.MIN_VALUE;
 
-    void fresh(double ratio) {
+    void recordNewRequest(double ratio) {
         allowance = Math.min(MAX_ALLOWANCE, allowance + ratio);
     }
 
-    boolean tryRetry(double floorPerSecond, long nowMillis) {
+    boolean tryAcquire(double floorPerSecond, long nowMillis) {
         if (lastMillis == Long.MIN_VALUE) {
             allowance = Math.min(MAX_ALLOWANCE, allowance + floorPerSecond);
         } else {
-            double grown = (nowMillis - lastMillis) / MILLIS_PER_SECOND * floorPerSecond;
-            allowance = Math.min(MAX_ALLOWANCE, allowance + grown);
+            double replenished = (nowMillis - lastMillis) / MILLIS_PER_SECOND * floorPerSecond;
+            allowance = Math.min(MAX_ALLOWANCE, allowance + replenished);
         }
         lastMillis = nowMillis;
         if (allowance < 1) {
--- a/org.whinwharf/src/main/java/org/whinwharf/home/TicketTable.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/home/TicketTable.java
@@ -7,41 +7,41 @@
 import org.whinwharf.ticket.NumberWindow;
 import org.whinwharf.ticket.Ticket;
 
-/** Numbers seen under each ticket that has not run out. */
+/** Request numbers seen under each unexpired ticket. */
 final class TicketTable {
     private static final int MAX_RANGES = 64;
     private static final int MAX_RECORDS = 256;
 
     private final int maxTickets;
-    private final Map<Key, NumberWindow<Seen>> windows = new HashMap<>();
+    private final Map<Key, NumberWindow<NumberRecord>> windows = new HashMap<>();
     private final PriorityQueue<Expiry> expiries = new PriorityQueue<>();
-    private long turnedAwayUntilMillis = Long.MIN_VALUE;
+    private long rejectedUntilMillis = Long.MIN_VALUE;
 
     TicketTable(int maxTickets) {
         this.maxTickets = maxTickets;
     }
 
-    Optional<NumberWindow<Seen>> find(Ticket ticket) {
+    Optional<NumberWindow<NumberRecord>> find(Ticket ticket) {
         return Optional.ofNullable(windows.get(Key.of(ticket)));
     }
 
     /**
-     * Finds or opens the window of a ticket; nothing when there is no room.
+     * Finds or opens the window of a ticket; empty when the table is full.
      *
-     * <p>A caller whose ticket found no room is told "not run". A copy of its request that was delayed on the way could
-     * find room later and run after all. So no ticket that runs out as early as one that was turned away gets a window
-     * any more; a new ticket does.
+     * <p>A caller whose ticket is rejected is told "not run". A copy of its request that was delayed in transit could
+     * find space later and run after all. Therefore a ticket that expires no later than a rejected one gets no window
+     * any more; a new ticket, which expires later, does.
      */
-    Optional<NumberWindow<Seen>> open(Ticket ticket) {
-        Optional<NumberWindow<Seen>> known = find(ticket);
-        if (known.isPresent()) {
-            return known;
+    Optional<NumberWindow<NumberRecord>> open(Ticket ticket) {
+        Optional<NumberWindow<NumberRecord>> existing = find(ticket);
+        if (existing.isPresent()) {
+            return existing;
         }
-        if (windows.size() >= maxTickets || ticket.expiresAtMillis() <= turnedAwayUntilMillis) {
-            turnedAwayUntilMillis = Math.max(turnedAwayUntilMillis, ticket.expiresAtMillis());
+        if (windows.size() >= maxTickets || ticket.expiresAtMillis() <= rejectedUntilMillis) {
+            rejectedUntilMillis = Math.max(rejectedUntilMillis, ticket.expiresAtMillis());
             return Optional.empty();
         }
-        NumberWindow<Seen> window = new NumberWindow<>(MAX_RANGES, MAX_RECORDS);
+        NumberWindow<NumberRecord> window = new NumberWindow<>(MAX_RANGES, MAX_RECORDS);
         windows.put(Key.of(ticket), window);
         expiries.add(new Expiry(ticket.expiresAtMillis(), Key.of(ticket)));
         return Optional.of(window);
@@ -53,8 +53,8 @@
         }
     }
 
-    /** What is recorded for a number: the request it became and what was asked. */
-    record Seen(long sequence, long contentDigest) {}
+    /** Record of a number: the request that was submitted under it and the digest of its content. */
+    record NumberRecord(long sequence, long contentDigest) {}
 
     private record Key(long idHigh, long idLow) {
         static Key of(Ticket ticket) {
--- a/org.whinwharf/src/main/java/org/whinwharf/order/EngineGoal.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/DesiredEngineState.java
@@ -14,35 +14,35 @@
 import org.whinwharf.wire.schema.Model;
 
 /**
- * What the document wants of one engine: the models of all deployments that describe it, and the role that the most
- * specific of them names.
+ * State that the operators' document asks for in one engine: the models of all deployments that match the engine, and
+ * the role that the most specific of these deployments names.
  *
- * @param models models with version and adapters
- * @param role role
+ * @param models models to load, with version and adapters
+ * @param role role to take: {@code mixed}, {@code prefill} or {@code decode}
  */
-public record EngineGoal(List<Model> models, String role) {
+public record DesiredEngineState(List<Model> models, String role) {
     private static final String DEFAULT_ROLE = "mixed";
 
     /**
-     * Copies the models.
+     * Creates a desired state. Copies the list of models.
      *
-     * @param models models with version and adapters
-     * @param role role
+     * @param models models to load, with version and adapters
+     * @param role role to take
      */
-    public EngineGoal {
+    public DesiredEngineState {
         models = List.copyOf(models);
     }
 
     /**
-     * Reads the goal of an engine from the document.
+     * Computes the desired state of an engine from the document.
      *
      * @param document document in force
-     * @param target the engine
-     * @return goal; empty when no deployment describes the engine, which is then left as it is
+     * @param target host entry of the engine
+     * @return desired state; empty when no deployment matches the engine, which then gets no orders
      */
-    public static Optional<EngineGoal> of(DocumentView document, Host target) {
+    public static Optional<DesiredEngineState> of(DocumentView document, Host target) {
         List<Deployment> matching = document.deployments(target.getTarget().getService()).stream()
-                .filter(deployment -> describes(deployment, target))
+                .filter(deployment -> matches(deployment, target))
                 .toList();
         if (matching.isEmpty()) {
             return Optional.empty();
@@ -51,24 +51,24 @@
         matching.forEach(deployment -> names.addAll(deployment.getModelsList()));
         List<Model> models =
                 names.stream().flatMap(name -> document.model(name).stream()).toList();
-        Deployment specific = matching.stream()
-                .max(Comparator.comparingInt(EngineGoal::specificity))
+        Deployment mostSpecific = matching.stream()
+                .max(Comparator.comparingInt(DesiredEngineState::specificity))
                 .orElseThrow();
-        return Optional.of(new EngineGoal(models, orMixed(specific.getRole())));
+        return Optional.of(new DesiredEngineState(models, roleOrDefault(mostSpecific.getRole())));
     }
 
     /**
-     * Finds what an engine lacks.
+     * Returns the steps that bring an engine from its current state to this one.
      *
-     * @param state state of the engine
-     * @return steps in the order in which they are to be taken; empty when the engine is as the document wants it
+     * @param state current state of the engine
+     * @return steps in the order in which they must be taken; empty when the engine is in the desired state
      */
-    public List<OrderStep> steps(EngineState state) {
+    public List<OrderStep> missingSteps(EngineState state) {
         List<OrderStep> steps = new ArrayList<>();
-        if (!orMixed(state.getRole()).equals(role)) {
+        if (!roleOrDefault(state.getRole()).equals(role)) {
             steps.add(OrderStep.role(role));
         }
-        // Dropped before others are loaded, so that there is room for them.
+        // Unloads come before loads because the new models need the memory.
         state.getModelsList().stream()
                 .map(LoadedModel::getName)
                 .filter(name ->
@@ -79,27 +79,27 @@
     }
 
     /**
-     * Tells how much an engine needs its next load.
+     * Returns the priority of the engine's next load.
      *
-     * @param state state of the engine
-     * @return need
+     * @param state current state of the engine
+     * @return priority among the loads of all engines
      */
-    public LoadNeed need(EngineState state) {
+    public LoadPriority loadPriority(EngineState state) {
         if (state.getModelsCount() == 0) {
-            return LoadNeed.SERVES_NOTHING;
+            return LoadPriority.SERVES_NOTHING;
         }
         Set<String> loaded = new LinkedHashSet<>();
         state.getModelsList().forEach(model -> loaded.add(model.getName()));
         boolean missing = models.stream().anyMatch(model -> !loaded.contains(model.getName()));
-        return missing ? LoadNeed.MODEL_MISSING : LoadNeed.OTHER_VERSION;
+        return missing ? LoadPriority.MODEL_MISSING : LoadPriority.OTHER_VERSION;
     }
 
-    private static boolean describes(Deployment deployment, Host target) {
-        boolean here = deployment.getDataCentre().isEmpty()
+    private static boolean matches(Deployment deployment, Host target) {
+        boolean dataCentreMatches = deployment.getDataCentre().isEmpty()
                 || deployment.getDataCentre().equals(target.getDataCentre());
-        boolean such = deployment.getHardware().isEmpty()
+        boolean hardwareMatches = deployment.getHardware().isEmpty()
                 || deployment.getHardware().equals(target.getTarget().getHardware());
-        return here && such;
+        return dataCentreMatches && hardwareMatches;
     }
 
     private static int specificity(Deployment deployment) {
@@ -114,7 +114,7 @@
                         && Set.copyOf(loaded.getAdaptersList()).equals(Set.copyOf(model.getAdaptersList())));
     }
 
-    private static String orMixed(String role) {
+    private static String roleOrDefault(String role) {
         return role.isEmpty() ? DEFAULT_ROLE : role;
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/order/StewardCore.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/order/StewardCore.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.whinwharf.document.DocumentView;
 import org.whinwharf.membership.Membership;
-import org.whinwharf.order.internal.EngineWatch;
+import org.whinwharf.order.internal.EngineTracker;
 import org.whinwharf.order.internal.Tenure;
 import org.whinwharf.wire.schema.EngineState;
 import org.whinwharf.wire.schema.Host;
@@ -22,70 +22,72 @@
 import org.whinwharf.wire.status.EngineStatus;
 
 /**
- * Decides what one steward reads and orders.
+ * Decides which engines a steward reads and which orders it sends.
  *
- * <p>Stewards do not talk to each other. Two that hold different lists both take themselves for the steward of a
- * target: where the engine checks fencing numbers, the one with the later list wins, since its number is higher. Where
- * the engine ignores them, the later one waits until the earlier one has certainly stopped: the earlier one orders only
- * while its list is fresh by its own clock.
+ * <p>Stewards do not communicate, and two stewards with different host lists can both act for one target. Where the
+ * engine checks fencing numbers, the steward with the later list prevails because its number is higher. Where the
+ * engine ignores them, the new steward waits until its predecessor has certainly stopped: a steward sends orders only
+ * while its host list is fresh on its own monotonic clock.
  *
- * <p>Holds no clock, socket or thread. Not safe for use by several threads.
+ * <p>Uses no clock, socket or thread of its own. Not thread-safe.
  */
 public final class StewardCore {
-    /** Longest time from a decision to the sending of its order. */
-    public static final long SEND_MILLIS = 500;
+    /** Longest time between the decision on an order and its sending. */
+    public static final long MAX_SEND_DELAY_MILLIS = 500;
 
-    private final String selfHost;
-    private final long orderMillis;
-    private final WeightTurns turns;
+    private final String localHost;
+    private final long orderTimeoutMillis;
+    private final WeightStoreRateLimiter loadRateLimiter;
     private final Tenure tenure = new Tenure();
-    private final Map<String, EngineWatch> engines = new TreeMap<>();
+    private final Map<String, EngineTracker> engines = new TreeMap<>();
     private Membership membership;
     private DocumentView document;
 
     /**
-     * Makes a steward that knows nothing.
+     * Creates a steward without host list and document, which plans no actions.
      *
-     * @param selfHost name of this host
-     * @param orderMillis longest that an order may take
-     * @param loadsPerSecond loads that the weight store bears a second, over the whole fleet
+     * @param localHost name of this host
+     * @param orderTimeoutMillis longest time that an order takes
+     * @param loadsPerSecond loads per second that the weight store supports, over the whole fleet
      */
-    public StewardCore(String selfHost, long orderMillis, double loadsPerSecond) {
-        this.selfHost = selfHost;
-        this.orderMillis = orderMillis;
-        this.turns = new WeightTurns(loadsPerSecond);
+    public StewardCore(String localHost, long orderTimeoutMillis, double loadsPerSecond) {
+        this.localHost = localHost;
+        this.orderTimeoutMillis = orderTimeoutMillis;
+        this.loadRateLimiter = new WeightStoreRateLimiter(loadsPerSecond);
     }
 
     /**
-     * Takes another host list or document.
+     * Updates the host list and the document. Ignores a host list with a lower revision than the current one, together
+     * with its document.
      *
-     * @param newMembership hosts
+     * @param newMembership view of the host list
      * @param newDocument document in force
-     * @param nowMillis monotonic clock
+     * @param nowMillis current time, on the monotonic clock
      */
     public void update(Membership newMembership, DocumentView newDocument, long nowMillis) {
         if (membership != null && newMembership.revision() < membership.revision()) {
-            // The fencing number must not fall, or an engine that checks it would refuse every order from here.
+            // The fencing number must not decrease, because an engine that checks it would reject every order of this
+            // steward.
             return;
         }
         membership = newMembership;
         document = newDocument;
-        List<String> all = new ArrayList<>();
-        Map<String, Host> own = new HashMap<>();
+        List<String> allEngines = new ArrayList<>();
+        Map<String, Host> localEngines = new HashMap<>();
         for (Host target : engineHosts()) {
-            all.add(target.getName());
-            if (isOwn(target)) {
-                own.put(target.getName(), target);
+            allEngines.add(target.getName());
+            if (isAssignedToThisHost(target)) {
+                localEngines.put(target.getName(), target);
             }
         }
-        engines.keySet().retainAll(own.keySet());
-        own.forEach(this::watch);
-        tenure.update(membership.revision(), own.keySet(), nowMillis);
-        turns.targets(all, own.keySet(), nowMillis);
+        engines.keySet().retainAll(localEngines.keySet());
+        localEngines.forEach(this::addOrUpdateEngine);
+        tenure.update(membership.revision(), localEngines.keySet(), nowMillis);
+        loadRateLimiter.updateTargets(allEngines, localEngines.keySet(), nowMillis);
     }
 
     /**
-     * Returns the revision that the decisions are based on.
+     * Returns the revision of the host list that decisions are based on. Orders carry it as their fencing number.
      *
      * @return revision of the host list; 0 before the first one
      */
@@ -94,56 +96,56 @@
     }
 
     /**
-     * Takes a reading of an engine.
+     * Records the state that was read from an engine. Ignored when this process is no longer its steward.
      *
      * @param target name of the engine
-     * @param state its state
-     * @param nowMillis monotonic clock
+     * @param state state of the engine
+     * @param nowMillis current time, on the monotonic clock
      */
     public void stateRead(String target, EngineState state, long nowMillis) {
-        find(target).ifPresent(engine -> engine.stateRead(state, nowMillis));
+        findEngine(target).ifPresent(engine -> engine.stateRead(state, nowMillis));
     }
 
     /**
-     * Takes the failure of a reading.
+     * Records that an engine could not be read. Ignored when this process is no longer its steward.
      *
      * @param target name of the engine
-     * @param reason why, in words
+     * @param reason description of the failure
      */
     public void readFailed(String target, String reason) {
-        find(target).ifPresent(engine -> engine.readFailed(reason));
+        findEngine(target).ifPresent(engine -> engine.readFailed(reason));
     }
 
     /**
-     * Takes what became of an order.
+     * Records the outcome of an order. Ignored when this process is no longer the engine's steward.
      *
      * @param target name of the engine
-     * @param outcome what became of it
-     * @param nowMillis monotonic clock
+     * @param outcome outcome of the order
+     * @param nowMillis current time, on the monotonic clock
      */
-    public void answered(String target, OrderOutcome outcome, long nowMillis) {
-        find(target).ifPresent(engine -> engine.answered(outcome, nowMillis, orderMillis));
+    public void orderFinished(String target, OrderOutcome outcome, long nowMillis) {
+        findEngine(target).ifPresent(engine -> engine.orderFinished(outcome, nowMillis, orderTimeoutMillis));
     }
 
     /**
-     * Decides what to do now.
+     * Returns the actions that are due now. Plans orders only while the host list is fresh.
      *
-     * @param nowMillis monotonic clock
-     * @param unixMillis wall clock; it only places turns at the weight store
-     * @param listHeardAtMillis monotonic clock when the list of {@link #revision} was last confirmed; empty when it is
-     *     not in force any more
-     * @return readings and orders
+     * @param nowMillis current time, on the monotonic clock
+     * @param unixMillis current time, on the wall clock; used only to place the time slots of the weight store
+     * @param listConfirmedAtMillis time at which the list of {@link #revision} was last confirmed, on the monotonic
+     *     clock; empty when that list is no longer in force
+     * @return orders and reads to execute
      */
-    public List<StewardAction> tick(long nowMillis, long unixMillis, OptionalLong listHeardAtMillis) {
+    public List<StewardAction> tick(long nowMillis, long unixMillis, OptionalLong listConfirmedAtMillis) {
         List<StewardAction> actions = new ArrayList<>();
         if (membership == null) {
             return actions;
         }
-        if (isFresh(nowMillis, listHeardAtMillis)) {
-            order(nowMillis, unixMillis, actions);
+        if (isListFresh(nowMillis, listConfirmedAtMillis)) {
+            planOrders(nowMillis, unixMillis, actions);
         }
-        for (EngineWatch engine : engines.values()) {
-            if (engine.takeRead(nowMillis)) {
+        for (EngineTracker engine : engines.values()) {
+            if (engine.startReadIfDue(nowMillis)) {
                 actions.add(new StewardAction.ReadState(engine.target()));
             }
         }
@@ -151,99 +153,104 @@
     }
 
     /**
-     * Tells right before the sending whether an order may still be sent.
+     * Checks just before sending whether an order may still be sent.
      *
-     * <p>The process may have been paused since the decision. When it wakes it still believes what it decided; only its
-     * own clock tells that others have gone on.
+     * <p>The process may have been paused between the decision and the sending, while another steward took over. After
+     * the pause only the process's own clock shows that its decision is outdated.
      *
-     * @param order the order
-     * @param nowMillis monotonic clock, read for this call
-     * @param listHeardAtMillis monotonic clock when the list of the order's fencing number was last confirmed; empty
-     *     when it is not in force any more
+     * @param order planned order
+     * @param nowMillis current time, on the monotonic clock, read for this call
+     * @param listConfirmedAtMillis time at which the list of the order's fencing number was last confirmed, on the
+     *     monotonic clock; empty when that list is no longer in force
      * @param generationInForce generation of the document in force, read for this call
-     * @return why not; empty when it may be sent
+     * @return reason to withhold the order; empty when it may be sent
      */
-    public Optional<Withheld> withheld(
-            PlannedOrder order, long nowMillis, OptionalLong listHeardAtMillis, long generationInForce) {
-        if (nowMillis - order.plannedAtMillis() > SEND_MILLIS) {
-            return Optional.of(Withheld.TOO_LATE);
+    public Optional<WithholdReason> withholdReason(
+            PlannedOrder order, long nowMillis, OptionalLong listConfirmedAtMillis, long generationInForce) {
+        if (nowMillis - order.plannedAtMillis() > MAX_SEND_DELAY_MILLIS) {
+            return Optional.of(WithholdReason.TOO_LATE);
         }
-        if (!isFresh(nowMillis, listHeardAtMillis)) {
-            return Optional.of(Withheld.LIST_STALE);
+        if (!isListFresh(nowMillis, listConfirmedAtMillis)) {
+            return Optional.of(WithholdReason.LIST_STALE);
         }
         if (order.fencingNumber() != membership.revision()) {
-            return Optional.of(Withheld.LIST_CHANGED);
+            return Optional.of(WithholdReason.LIST_CHANGED);
         }
-        return order.generation() == generationInForce ? Optional.empty() : Optional.of(Withheld.DOCUMENT_CHANGED);
+        return order.generation() == generationInForce
+                ? Optional.empty()
+                : Optional.of(WithholdReason.DOCUMENT_CHANGED);
     }
 
     /**
-     * Describes the engines of this steward to operators.
+     * Returns the status of this steward's engines for the status page and metrics.
      *
-     * @return one entry for each
+     * @return one entry per engine, sorted by name
      */
     public List<EngineStatus> status() {
         return engines.values().stream().map(this::status).toList();
     }
 
-    private EngineStatus status(EngineWatch engine) {
+    private EngineStatus status(EngineTracker engine) {
         return EngineStatus.newBuilder()
                 .setTarget(engine.target().getName())
                 .setState(engine.stateName())
                 .setFencingNumber(membership.revision())
-                .addAllMissing(engine.steps().stream().map(OrderStep::text).toList())
+                .addAllMissing(
+                        engine.missingSteps().stream().map(OrderStep::describe).toList())
                 .build();
     }
 
-    private void order(long nowMillis, long unixMillis, List<StewardAction> actions) {
-        List<EngineWatch> loads = new ArrayList<>();
-        for (EngineWatch engine : engines.values()) {
+    private void planOrders(long nowMillis, long unixMillis, List<StewardAction> actions) {
+        List<EngineTracker> enginesToLoad = new ArrayList<>();
+        for (EngineTracker engine : engines.values()) {
             if (!mayOrder(engine, nowMillis)) {
                 continue;
             }
             Optional<OrderStep> step = engine.nextStep(membership.revision(), nowMillis);
             if (step.isPresent() && step.get().kind().readsWeights()) {
-                loads.add(engine);
+                enginesToLoad.add(engine);
             } else {
-                step.ifPresent(each -> actions.add(plan(engine, each, nowMillis)));
+                step.ifPresent(each -> actions.add(planOrder(engine, each, nowMillis)));
             }
         }
-        loads.sort(this::compareNeed);
-        for (EngineWatch neediest : loads) {
-            if (!turns.take(nowMillis, unixMillis)) {
+        enginesToLoad.sort(this::comparePriority);
+        for (EngineTracker engine : enginesToLoad) {
+            if (!loadRateLimiter.tryAcquire(nowMillis, unixMillis)) {
                 return;
             }
-            neediest.nextStep(membership.revision(), nowMillis)
-                    .ifPresent(step -> actions.add(plan(neediest, step, nowMillis)));
+            engine.nextStep(membership.revision(), nowMillis)
+                    .ifPresent(step -> actions.add(planOrder(engine, step, nowMillis)));
         }
     }
 
-    private StewardAction plan(EngineWatch engine, OrderStep step, long nowMillis) {
+    private StewardAction planOrder(EngineTracker engine, OrderStep step, long nowMillis) {
         PlannedOrder order =
                 new PlannedOrder(engine.target(), step, membership.revision(), document.generation(), nowMillis);
-        engine.sent(order);
+        engine.orderPlanned(order);
         return new StewardAction.SendOrder(order);
     }
 
-    private boolean mayOrder(EngineWatch engine, long nowMillis) {
+    private boolean mayOrder(EngineTracker engine, long nowMillis) {
         Host target = engine.target();
-        boolean checks = document.service(target.getTarget().getService())
+        boolean checksFencing = document.service(target.getTarget().getService())
                 .map(ServiceSpec::getChecksFencing)
                 .orElse(false);
-        long takeoverMillis = StewardBounds.of(document.timing(), orderMillis).takeoverMillis();
-        return checks || tenure.millis(target.getName(), nowMillis) >= takeoverMillis;
+        long takeoverDelayMillis =
+                TakeoverTiming.of(document.timing(), orderTimeoutMillis).takeoverDelayMillis();
+        return checksFencing || tenure.durationMillis(target.getName(), nowMillis) >= takeoverDelayMillis;
     }
 
-    private int compareNeed(EngineWatch one, EngineWatch other) {
-        return Comparator.comparing((EngineWatch engine) ->
+    private int comparePriority(EngineTracker one, EngineTracker other) {
+        return Comparator.comparing((EngineTracker engine) ->
                         !membership.isInService(engine.target().getDataCentre()))
-                .thenComparing(EngineWatch::need)
+                .thenComparing(EngineTracker::loadPriority)
                 .thenComparing(engine -> engine.target().getName())
                 .compare(one, other);
     }
 
-    private boolean isFresh(long nowMillis, OptionalLong listHeardAtMillis) {
-        return listHeardAtMillis.isPresent() && nowMillis - listHeardAtMillis.getAsLong() <= StewardBounds.FRESH_MILLIS;
+    private boolean isListFresh(long nowMillis, OptionalLong listConfirmedAtMillis) {
+        return listConfirmedAtMillis.isPresent()
+                && nowMillis - listConfirmedAtMillis.getAsLong() <= TakeoverTiming.MAX_LIST_AGE_MILLIS;
     }
 
     private Set<Host> engineHosts() {
@@ -258,20 +265,20 @@
         return hosts;
     }
 
-    private boolean isOwn(Host target) {
+    private boolean isAssignedToThisHost(Host target) {
         return target.getState() == HostState.LIVE
-                && EngineGoal.of(document, target).isPresent()
-                && Stewards.stewardOf(target, membership)
-                        .filter(host -> host.getName().equals(selfHost))
+                && DesiredEngineState.of(document, target).isPresent()
+                && StewardSelector.stewardOf(target, membership)
+                        .filter(host -> host.getName().equals(localHost))
                         .isPresent();
     }
 
-    private void watch(String name, Host target) {
-        EngineWatch engine = engines.computeIfAbsent(name, key -> new EngineWatch(target));
-        engine.update(target, EngineGoal.of(document, target).orElseThrow());
+    private void addOrUpdateEngine(String name, Host target) {
+        EngineTracker engine = engines.computeIfAbsent(name, key -> new EngineTracker(target));
+        engine.update(target, DesiredEngineState.of(document, target).orElseThrow());
     }
 
-    private Optional<EngineWatch> find(String target) {
+    private Optional<EngineTracker> findEngine(String target) {
         return Optional.ofNullable(engines.get(target));
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCore.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SchedulerCore.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import org.whinwharf.membership.Membership;
 import org.whinwharf.owner.limit.TargetAccount;
-import org.whinwharf.owner.placement.Placement;
+import org.whinwharf.owner.placement.PlacementStrategy;
 import org.whinwharf.owner.pledge.Voter;
 import org.whinwharf.wire.message.Enqueue;
 import org.whinwharf.wire.message.FloorCleared;
@@ -25,192 +25,194 @@
 import org.whinwharf.wire.status.SliceState;
 
 /**
- * Decisions of one scheduler process: owner of slices, voter for others' slices and party to floors.
+ * Decision logic of one scheduler process: it owns slices, votes on the owners of slices and takes part in the floors
+ * of services.
  *
- * <p>Confined to one thread. Everything happens in {@link #handle}: an event and the time now go in, actions come out.
+ * <p>The class is confined to one thread and does no input or output. {@link #handle} takes an event and the current
+ * time and returns the actions to perform.
  */
 public final class SchedulerCore {
-    private static final int RENEWALS_PER_PLEDGE = 3;
-    private static final long STATUS_MILLIS = 1_000;
-    private static final long SHORTEST_PAUSE_MILLIS = 500;
-    private static final int FLOOR_CANDIDATES = 2;
+    private static final int PLEDGE_REQUESTS_PER_VALIDITY = 3;
+    private static final long STATUS_INTERVAL_MILLIS = 1_000;
+    private static final long MIN_PAUSE_MILLIS = 500;
+    private static final int CANDIDATES_PER_SLICE = 2;
 
-    private final Scene scene;
+    private final SchedulerContext context;
     private final Voter voter;
     private final Map<SliceId, SliceOwner> slices = new HashMap<>();
-    private long handledAtMillis;
-    private long pledgesAskedAtMillis = Long.MIN_VALUE / 2;
-    private long statusSentAtMillis = Long.MIN_VALUE / 2;
+    private long lastEventMillis;
+    private long lastPledgeRequestMillis = Long.MIN_VALUE / 2;
+    private long lastStatusMillis = Long.MIN_VALUE / 2;
 
     /**
-     * Creates the decisions of a process that has just started.
+     * Creates the decision logic of a process that has just started.
      *
      * @param self this process
-     * @param placement how targets are chosen
-     * @param startedAtMillis when the process started
+     * @param placement strategy that chooses targets
+     * @param startedAtMillis start time of the process, by its monotonic clock
      */
-    public SchedulerCore(HomeId self, Placement placement, long startedAtMillis) {
-        this.scene = new Scene(self, placement, new Whole());
+    public SchedulerCore(ProcessId self, PlacementStrategy placement, long startedAtMillis) {
+        this.context = new SchedulerContext(self, placement, new ProcessOperations());
         this.voter = new Voter(startedAtMillis);
     }
 
     /**
      * Handles an event.
      *
-     * @param event what happened
-     * @param nowMillis time now, by this process's monotonic clock
-     * @return what to do, in this order
+     * @param event the event
+     * @param nowMillis current time, by this process's monotonic clock
+     * @return actions to perform, in this order
      */
-    public List<Action> handle(Event event, long nowMillis) {
-        noticePause(nowMillis);
-        if (event instanceof Event.Viewed viewed) {
-            viewed(viewed, nowMillis);
-        } else if (scene.isReady()) {
+    public List<SchedulerAction> handle(SchedulerEvent event, long nowMillis) {
+        detectPause(nowMillis);
+        if (event instanceof SchedulerEvent.ConfigurationChanged change) {
+            configurationChanged(change, nowMillis);
+        } else if (context.isReady()) {
             handleReady(event, nowMillis);
         }
-        return scene.takeActions();
+        return context.takeActions();
     }
 
     /**
-     * Tells whether a planned stop may end: nothing waits here, no grant can still be used, and all pledges are given
-     * back.
+     * Returns whether a planned stop may end: no request waits here, no grant can still be used, and all pledges are
+     * released.
      *
-     * @param nowMillis time now
+     * @param nowMillis current time
      * @return true when the process may exit
      */
-    public boolean hasHandedOver(long nowMillis) {
-        return slices.values().stream().allMatch(owner -> owner.hasHandedOver(nowMillis));
+    public boolean isHandoverComplete(long nowMillis) {
+        return slices.values().stream().allMatch(owner -> owner.isHandoverComplete(nowMillis));
     }
 
     /**
-     * Returns the targets whose load is to be read.
+     * Returns the targets whose load must be polled.
      *
-     * @return names of targets of the slices that this process owns or is to own
+     * @return names of the targets of all slices that this process handles
      */
-    public Set<String> targetsToRead() {
+    public Set<String> targetsToPoll() {
         Set<String> targets = new LinkedHashSet<>();
-        slices.values().forEach(owner -> targets.addAll(owner.ownTargets()));
+        slices.values().forEach(owner -> targets.addAll(owner.targetNames()));
         return targets;
     }
 
     /**
-     * Returns the number of the last cache event seen of a target.
+     * Returns the number of the last cache event received from a target.
      *
      * @param target name of the target
-     * @return number for the next question; 0 when none was seen
+     * @return number from which the next request for events continues; 0 when no event was received
      */
-    public long lastCacheEvent(String target) {
-        return scene.membership()
+    public long lastCacheEventNumber(String target) {
+        return context.membership()
                 .sliceOf(target)
                 .map(slices::get)
                 .flatMap(owner -> owner.targets().account(target))
-                .map(account -> account.prefixes().lastNumber())
+                .map(account -> account.prefixes().lastEventNumber())
                 .orElse(0L);
     }
 
     /**
-     * Returns the hosts whose schedulers this process must be able to reach.
+     * Returns the hosts to whose schedulers this process needs links.
      *
-     * @param nowMillis time now
-     * @return names of hosts: voters of own slices, owners of the same services, and candidates before this host
+     * @param nowMillis current time
+     * @return names of hosts: voters of its slices, owners of the same services, and candidates before this host
      */
-    public Set<String> peersNeeded(long nowMillis) {
+    public Set<String> requiredPeers(long nowMillis) {
         Set<String> peers = new LinkedHashSet<>();
         for (SliceOwner owner : slices.values()) {
-            if (owner.wantsPledges(nowMillis)) {
-                peers.addAll(scene.views().voters(owner.slice()));
+            if (owner.needsPledges(nowMillis)) {
+                peers.addAll(context.views().voters(owner.slice()));
                 peers.addAll(owners(owner.slice().getService()));
             }
-            // Whether this host may take the slice over depends on whether those before it can be reached.
-            scene.membership().candidates(owner.slice()).stream()
+            // This host takes a slice over only while the candidates before it are unreachable.
+            context.membership().candidates(owner.slice()).stream()
                     .map(Host::getName)
-                    .takeWhile(name -> !name.equals(scene.self().host()))
-                    .limit(FLOOR_CANDIDATES)
+                    .takeWhile(name -> !name.equals(context.self().host()))
+                    .limit(CANDIDATES_PER_SLICE)
                     .forEach(peers::add);
         }
-        peers.remove(scene.self().host());
+        peers.remove(context.self().host());
         return peers;
     }
 
     /**
-     * Describes the slices for operators.
+     * Returns the state of the slices, for operators.
      *
-     * @param nowMillis time now
-     * @return one state for each slice that is handled here
+     * @param nowMillis current time
+     * @return one state for each slice that this process handles
      */
     public List<SliceState> states(long nowMillis) {
         return slices.values().stream()
-                .map(owner -> SliceReport.state(owner, nowMillis))
+                .map(owner -> SliceStatusReporter.state(owner, nowMillis))
                 .toList();
     }
 
-    // A paused process wakes with the list of before. It would ask for pledges by voters that others count no more, and
-    // both could have a majority; ticks that come late show the pause.
-    private void noticePause(long nowMillis) {
-        if (scene.isReady() && nowMillis - handledAtMillis > pauseMillis()) {
-            scene.views().paused(scene.timings(), nowMillis);
+    // A paused process resumes with an outdated host list. It would request pledges from voters that other processes
+    // no longer count, and two owners could each have a majority. A long gap between events indicates a pause.
+    private void detectPause(long nowMillis) {
+        if (context.isReady() && nowMillis - lastEventMillis > pauseThresholdMillis()) {
+            context.views().resetAfterPause(context.timings(), nowMillis);
         }
-        handledAtMillis = nowMillis;
+        lastEventMillis = nowMillis;
     }
 
-    // A shorter pause counts as part of the bound on the list's lag.
-    private long pauseMillis() {
-        return Math.max(SHORTEST_PAUSE_MILLIS, scene.timings().listLagMillis() / 2);
+    // A shorter pause is covered by the bound on the list's lag.
+    private long pauseThresholdMillis() {
+        return Math.max(MIN_PAUSE_MILLIS, context.timings().listLagMillis() / 2);
     }
 
-    private void handleReady(Event event, long nowMillis) {
-        if (event instanceof Event.FromEntry frame) {
+    private void handleReady(SchedulerEvent event, long nowMillis) {
+        if (event instanceof SchedulerEvent.EntryFrame frame) {
             fromEntry(frame.home(), frame.frame(), nowMillis);
-        } else if (event instanceof Event.FromPeer frame) {
+        } else if (event instanceof SchedulerEvent.PeerFrame frame) {
             fromPeer(frame.scheduler(), frame.frame(), nowMillis);
-        } else if (event instanceof Event.EntryLost lost) {
-            slices.values().forEach(owner -> owner.lost(lost.home(), nowMillis));
-            scene.forget(lost.home());
-        } else if (event instanceof Event.PeerUp up) {
-            scene.reachable().add(up.scheduler().host());
-            pledgesAskedAtMillis = Long.MIN_VALUE / 2;
-        } else if (event instanceof Event.PeerLost lost) {
-            scene.reachable().remove(lost.scheduler().host());
-        } else if (event instanceof Event.LoadRead read) {
-            loadRead(read, nowMillis);
-        } else if (event instanceof Event.LoadFailed failed) {
+        } else if (event instanceof SchedulerEvent.EntryDisconnected lost) {
+            slices.values().forEach(owner -> owner.homeDisconnected(lost.home(), nowMillis));
+            context.forget(lost.home());
+        } else if (event instanceof SchedulerEvent.PeerConnected up) {
+            context.reachable().add(up.scheduler().host());
+            lastPledgeRequestMillis = Long.MIN_VALUE / 2;
+        } else if (event instanceof SchedulerEvent.PeerDisconnected lost) {
+            context.reachable().remove(lost.scheduler().host());
+        } else if (event instanceof SchedulerEvent.LoadReceived read) {
+            loadReceived(read, nowMillis);
+        } else if (event instanceof SchedulerEvent.LoadRequestFailed failed) {
             withTarget(
                     failed.target(),
-                    owner -> owner.targets().account(failed.target()).ifPresent(TargetAccount::unreadable));
-        } else if (event instanceof Event.CacheRead read) {
+                    owner -> owner.targets().account(failed.target()).ifPresent(TargetAccount::loadUnavailable));
+        } else if (event instanceof SchedulerEvent.CacheEventsReceived read) {
             withTarget(
                     read.target(),
                     owner -> owner.targets()
                             .account(read.target())
-                            .ifPresent(account -> account.prefixes().read(read.events())));
-        } else if (event instanceof Event.Leave) {
-            scene.leave();
+                            .ifPresent(account -> account.prefixes().applyEvents(read.events())));
+        } else if (event instanceof SchedulerEvent.Leave) {
+            context.leave();
             tick(nowMillis);
-        } else if (event instanceof Event.Tick) {
+        } else if (event instanceof SchedulerEvent.Tick) {
             tick(nowMillis);
         }
     }
 
-    private void viewed(Event.Viewed viewed, long nowMillis) {
-        scene.update(viewed.membership(), viewed.rules(), nowMillis);
-        voter.prune(viewed.membership(), nowMillis);
-        for (SliceId slice : viewed.membership().slices()) {
-            boolean first = viewed.membership()
-                    .wouldBeOwner(slice)
-                    .filter(host -> host.getName().equals(scene.self().host()))
+    private void configurationChanged(SchedulerEvent.ConfigurationChanged change, long nowMillis) {
+        context.update(change.membership(), change.configuration(), nowMillis);
+        voter.prune(change.membership(), nowMillis);
+        for (SliceId slice : change.membership().slices()) {
+            boolean first = change.membership()
+                    .preferredOwner(slice)
+                    .filter(host -> host.getName().equals(context.self().host()))
                     .isPresent();
             if (first) {
-                slices.computeIfAbsent(slice, key -> new SliceOwner(key, scene));
+                slices.computeIfAbsent(slice, key -> new SliceOwner(key, context));
             }
         }
-        slices.values().forEach(owner -> owner.viewed(nowMillis));
-        pledgesAskedAtMillis = Long.MIN_VALUE / 2;
+        slices.values().forEach(owner -> owner.configurationChanged(nowMillis));
+        lastPledgeRequestMillis = Long.MIN_VALUE / 2;
         tick(nowMillis);
     }
 
-    private void fromEntry(HomeId home, Frame frame, long nowMillis) {
+    private void fromEntry(ProcessId home, Frame frame, long nowMillis) {
         switch (frame.getBodyCase()) {
-            case HEARTBEAT -> scene.heardClock(home, frame.getHeartbeat().getSentAtMillis());
+            case HEARTBEAT -> context.recordClock(home, frame.getHeartbeat().getSentAtMillis());
             case ENQUEUE -> enqueue(home, frame.getEnqueue(), nowMillis);
             case WITHDRAW -> {
                 SliceOwner owner = slices.get(frame.getWithdraw().getSlice());
@@ -225,77 +227,78 @@
                 }
             }
             default -> {
-                // Frames that the daemon handles, or that have no meaning from an entry process.
+                // Other frames are handled by the daemon, or are not expected from an entry process.
             }
         }
     }
 
-    private void enqueue(HomeId home, Enqueue enqueue, long nowMillis) {
-        scene.heardClock(home, enqueue.getSentAtMillis());
-        SliceOwner owner = slices.computeIfAbsent(enqueue.getSlice(), key -> new SliceOwner(key, scene));
+    private void enqueue(ProcessId home, Enqueue enqueue, long nowMillis) {
+        context.recordClock(home, enqueue.getSentAtMillis());
+        SliceOwner owner = slices.computeIfAbsent(enqueue.getSlice(), key -> new SliceOwner(key, context));
         owner.enqueue(home, enqueue, nowMillis);
         if (owner.isIdle(nowMillis)) {
             slices.remove(enqueue.getSlice());
         }
     }
 
-    private void fromPeer(HomeId scheduler, Frame frame, long nowMillis) {
+    private void fromPeer(ProcessId scheduler, Frame frame, long nowMillis) {
         switch (frame.getBodyCase()) {
             case PLEDGE_REQUEST ->
-                scene.toPeer(
+                context.sendToPeer(
                         scheduler.host(),
                         Frame.newBuilder()
                                 .setPledge(voter.answer(
                                         scheduler,
                                         frame.getPledgeRequest(),
-                                        scene.membership(),
-                                        scene.timings(),
+                                        context.membership(),
+                                        context.timings(),
                                         nowMillis)));
             case HEARTBEAT -> {
-                // Entries ask the next candidate once this one leaves; it must not wait for the link to go down.
+                // Entry processes turn to the next candidate once this scheduler leaves; that candidate must not wait
+                // for the link to go down.
                 if (frame.getHeartbeat().getLeaving()) {
-                    scene.reachable().remove(scheduler.host());
+                    context.reachable().remove(scheduler.host());
                 }
             }
-            case PLEDGE -> pledged(scheduler.host(), frame.getPledge(), nowMillis);
+            case PLEDGE -> pledgeReceived(scheduler.host(), frame.getPledge(), nowMillis);
             case PLEDGE_RELEASE ->
                 voter.release(
                         scheduler,
                         frame.getPledgeRelease().getSlicesList(),
                         frame.getPledgeRelease().getClean(),
-                        scene.timings(),
+                        context.timings(),
                         nowMillis);
-            case FLOOR_RAISE -> floorRaised(scheduler.host(), frame.getFloorRaise(), nowMillis);
+            case FLOOR_RAISE -> floorRaiseReceived(scheduler.host(), frame.getFloorRaise(), nowMillis);
             case FLOOR_CLEARED -> {
-                scene.floors().cleared(scheduler.host(), frame.getFloorCleared());
-                decide(frame.getFloorCleared().getService(), nowMillis);
+                context.floors().recordCleared(scheduler.host(), frame.getFloorCleared());
+                schedule(frame.getFloorCleared().getService(), nowMillis);
             }
             case FLOOR_LOWER ->
-                scene.floors()
-                        .end(
+                context.floors()
+                        .removeRemote(
                                 scheduler.host(),
                                 frame.getFloorLower().getService(),
                                 frame.getFloorLower().getFloor());
             default -> {
-                // Frames that the daemon handles, or that have no meaning from a scheduler.
+                // Other frames are handled by the daemon, or are not expected from a scheduler.
             }
         }
     }
 
-    private void pledged(String host, Pledge pledge, long nowMillis) {
+    private void pledgeReceived(String host, Pledge pledge, long nowMillis) {
         for (int i = 0; i < pledge.getSlicesCount(); i++) {
             SliceOwner owner = slices.get(pledge.getSlices(i));
-            if (owner != null && owner.wantsPledges(nowMillis)) {
-                owner.pledged(host, pledge, i, nowMillis);
-                owner.decide(nowMillis);
+            if (owner != null && owner.needsPledges(nowMillis)) {
+                owner.pledgeReceived(host, pledge, i, nowMillis);
+                owner.schedule(nowMillis);
             }
         }
     }
 
-    private void floorRaised(String host, FloorRaise raise, long nowMillis) {
-        scene.floors().stand(host, raise, nowMillis);
+    private void floorRaiseReceived(String host, FloorRaise raise, long nowMillis) {
+        context.floors().addRemote(host, raise, nowMillis);
         evictBelow(raise.getService(), raise.getRank(), nowMillis);
-        scene.toPeer(
+        context.sendToPeer(
                 host,
                 Frame.newBuilder()
                         .setFloorCleared(FloorCleared.newBuilder()
@@ -304,12 +307,13 @@
                                 .setFloor(raise.getFloor())));
     }
 
-    private void loadRead(Event.LoadRead read, long nowMillis) {
+    private void loadReceived(SchedulerEvent.LoadReceived read, long nowMillis) {
         withTarget(read.target(), owner -> {
             owner.targets()
                     .account(read.target())
-                    .ifPresent(account -> account.read(read.load(), read.askedAtMillis(), nowMillis, scene.timings()));
-            owner.decide(nowMillis);
+                    .ifPresent(account ->
+                            account.addReading(read.load(), read.requestedAtMillis(), nowMillis, context.timings()));
+            owner.schedule(nowMillis);
         });
     }
 
@@ -322,51 +326,51 @@
     }
 
     private void tick(long nowMillis) {
-        Membership membership = scene.membership();
-        scene.views().prune(nowMillis - scene.timings().staleLoadMillis());
-        askForPledges(nowMillis);
-        slices.values().forEach(owner -> owner.decide(nowMillis));
-        tendFloors(nowMillis);
+        Membership membership = context.membership();
+        context.views().prune(nowMillis - context.timings().maxLoadAgeMillis());
+        requestPledges(nowMillis);
+        slices.values().forEach(owner -> owner.schedule(nowMillis));
+        maintainFloors(nowMillis);
         slices.values()
                 .removeIf(owner -> owner.isIdle(nowMillis)
-                        || !membership.slices().contains(owner.slice()) && owner.hasHandedOver(nowMillis));
-        if (nowMillis - statusSentAtMillis >= STATUS_MILLIS) {
-            statusSentAtMillis = nowMillis;
-            slices.values().forEach(owner -> SliceReport.send(owner, scene, nowMillis));
+                        || !membership.slices().contains(owner.slice()) && owner.isHandoverComplete(nowMillis));
+        if (nowMillis - lastStatusMillis >= STATUS_INTERVAL_MILLIS) {
+            lastStatusMillis = nowMillis;
+            slices.values().forEach(owner -> SliceStatusReporter.send(owner, context, nowMillis));
         }
     }
 
-    private void askForPledges(long nowMillis) {
-        if (nowMillis - pledgesAskedAtMillis < scene.timings().pledgeMillis() / RENEWALS_PER_PLEDGE) {
+    private void requestPledges(long nowMillis) {
+        if (nowMillis - lastPledgeRequestMillis < context.timings().pledgeMillis() / PLEDGE_REQUESTS_PER_VALIDITY) {
             return;
         }
-        pledgesAskedAtMillis = nowMillis;
+        lastPledgeRequestMillis = nowMillis;
         Map<String, PledgeRequest.Builder> requests = new TreeMap<>();
         for (SliceOwner owner : slices.values()) {
-            if (owner.wantsPledges(nowMillis)) {
-                for (String host : scene.views().voters(owner.slice())) {
+            if (owner.needsPledges(nowMillis)) {
+                for (String host : context.views().voters(owner.slice())) {
                     requests.computeIfAbsent(host, key -> PledgeRequest.newBuilder())
                             .addSlices(owner.slice());
                 }
             }
         }
-        requests.forEach(
-                (host, request) -> ask(host, request.setSentAtMillis(nowMillis).build(), nowMillis));
+        requests.forEach((host, request) ->
+                sendPledgeRequest(host, request.setSentAtMillis(nowMillis).build(), nowMillis));
     }
 
-    private void ask(String host, PledgeRequest request, long nowMillis) {
-        if (host.equals(scene.self().host())) {
-            Pledge pledge = voter.answer(scene.self(), request, scene.membership(), scene.timings(), nowMillis);
-            pledged(host, pledge, nowMillis);
+    private void sendPledgeRequest(String host, PledgeRequest request, long nowMillis) {
+        if (host.equals(context.self().host())) {
+            Pledge pledge = voter.answer(context.self(), request, context.membership(), context.timings(), nowMillis);
+            pledgeReceived(host, pledge, nowMillis);
         } else {
-            scene.toPeer(host, Frame.newBuilder().setPledgeRequest(request));
+            context.sendToPeer(host, Frame.newBuilder().setPledgeRequest(request));
         }
     }
 
-    private void tendFloors(long nowMillis) {
-        scene.floors().lower(nowMillis).forEach((service, floor) -> {
+    private void maintainFloors(long nowMillis) {
+        context.floors().lowerUnneeded(nowMillis).forEach((service, floor) -> {
             for (String host : owners(service)) {
-                scene.toPeer(
+                context.sendToPeer(
                         host,
                         Frame.newBuilder()
                                 .setFloorLower(FloorLower.newBuilder()
@@ -374,28 +378,28 @@
                                         .setFloor(floor)));
             }
         });
-        for (String service : scene.floors().due(nowMillis)) {
+        for (String service : context.floors().servicesToAnnounce(nowMillis)) {
             announceFloor(service, nowMillis);
         }
     }
 
     private void announceFloor(String service, long nowMillis) {
         Set<String> owners = owners(service);
-        FloorRaise raise = scene.floors().announce(service, owners, nowMillis);
+        FloorRaise raise = context.floors().announce(service, owners, nowMillis);
         for (String host : owners) {
-            scene.toPeer(host, Frame.newBuilder().setFloorRaise(raise));
+            context.sendToPeer(host, Frame.newBuilder().setFloorRaise(raise));
         }
     }
 
     private Set<String> owners(String service) {
         Set<String> owners = new LinkedHashSet<>();
-        for (SliceId slice : scene.membership().slices(service)) {
-            scene.membership().candidates(slice).stream()
-                    .limit(FLOOR_CANDIDATES)
+        for (SliceId slice : context.membership().slices(service)) {
+            context.membership().candidates(slice).stream()
+                    .limit(CANDIDATES_PER_SLICE)
                     .map(Host::getName)
                     .forEach(owners::add);
         }
-        owners.remove(scene.self().host());
+        owners.remove(context.self().host());
         return owners;
     }
 
@@ -407,24 +411,24 @@
         }
     }
 
-    private void decide(String service, long nowMillis) {
+    private void schedule(String service, long nowMillis) {
         for (SliceOwner owner : slices.values()) {
             if (owner.slice().getService().equals(service)) {
-                owner.decide(nowMillis);
+                owner.schedule(nowMillis);
             }
         }
     }
 
-    /** What one slice asks of the whole process. */
-    final class Whole {
-        /** Gives the pledges of a slice back to all voters. */
+    /** Operations of the process that a slice starts. */
+    final class ProcessOperations {
+        /** Releases the pledges of a slice at all voters. */
         void release(SliceId slice, long nowMillis) {
             List<SliceId> released = List.of(slice);
-            for (String host : scene.views().voters(slice)) {
-                if (host.equals(scene.self().host())) {
-                    voter.release(scene.self(), released, true, scene.timings(), nowMillis);
+            for (String host : context.views().voters(slice)) {
+                if (host.equals(context.self().host())) {
+                    voter.release(context.self(), released, true, context.timings(), nowMillis);
                 } else {
-                    scene.toPeer(
+                    context.sendToPeer(
                             host,
                             Frame.newBuilder()
                                     .setPledgeRelease(PledgeRelease.newBuilder()
@@ -434,10 +438,13 @@
             }
         }
 
-        /** Raises the floor of a service, clears the own slices first and tells the others. */
-        void needFloor(String service, int rank, long nowMillis) {
-            if (scene.floors().need(service, rank, nowMillis)) {
-                scene.count(Measure.FLOOR_RAISED, rank);
+        /**
+         * Raises the floor of a service, evicts requests below it from local slices and announces it to the other
+         * owners.
+         */
+        void raiseFloor(String service, int rank, long nowMillis) {
+            if (context.floors().raise(service, rank, nowMillis)) {
+                context.count(SchedulerCounter.FLOOR_RAISED, rank);
                 evictBelow(service, rank, nowMillis);
                 announceFloor(service, nowMillis);
             }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/SliceOwner.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/SliceOwner.java
@@ -8,11 +8,11 @@
 import org.whinwharf.owner.limit.Slot;
 import org.whinwharf.owner.limit.TargetAccount;
 import org.whinwharf.owner.placement.Candidate;
-import org.whinwharf.owner.pledge.PledgeBook;
+import org.whinwharf.owner.pledge.HeldPledges;
 import org.whinwharf.owner.pledge.ShareRule;
 import org.whinwharf.owner.queue.DrainRate;
 import org.whinwharf.owner.queue.SliceQueue;
-import org.whinwharf.owner.queue.Waiting;
+import org.whinwharf.owner.queue.WaitingRequest;
 import org.whinwharf.wire.message.Enqueue;
 import org.whinwharf.wire.message.Finished;
 import org.whinwharf.wire.message.Frame;
@@ -24,33 +24,33 @@
 import org.whinwharf.wire.message.SliceId;
 import org.whinwharf.wire.schema.Host;
 
-/** Queue, pledges and targets of one slice at the process that owns it or is to own it. */
+/** Queue, pledges and targets of one slice, at a process that owns the slice or is a candidate for it. */
 final class SliceOwner {
     private static final int HARD_BOUND_FACTOR = 2;
-    private static final double NEARLY_FULL = 0.8;
-    private static final double OPTIMISM = 0.5;
-    private static final long SHORTEST_COME_BACK_MILLIS = 200;
-    private static final long DEFAULT_COME_BACK_MILLIS = 1_000;
-    private static final long LONGEST_COME_BACK_MILLIS = 60_000;
-    private static final long HOPELESS_MILLIS = 50;
-    private static final long HEARD_MILLIS = 5_000;
+    private static final double FLOOR_EXTENSION_RATIO = 0.8;
+    private static final double WAIT_DISCOUNT = 0.5;
+    private static final long MIN_RETRY_AFTER_MILLIS = 200;
+    private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
+    private static final long MAX_RETRY_AFTER_MILLIS = 60_000;
+    private static final long DEADLINE_CHECK_INTERVAL_MILLIS = 50;
+    private static final long RECENT_ENQUEUE_MILLIS = 5_000;
 
     private final SliceId slice;
-    private final Scene scene;
-    private final PledgeBook book;
+    private final SchedulerContext context;
+    private final HeldPledges pledges;
     private final SliceTargets targets;
     private final SliceQueue queue = new SliceQueue();
-    private final DrainRate drain = new DrainRate();
-    private final Map<HomeId, Long> heardAtMillis = new HashMap<>();
-    private long enqueuedAtMillis = Long.MIN_VALUE / 2;
-    private long hopelessAtMillis = Long.MIN_VALUE / 2;
-    private boolean holds;
+    private final DrainRate drainRate = new DrainRate();
+    private final Map<ProcessId, Long> lastContactMillis = new HashMap<>();
+    private long lastEnqueueMillis = Long.MIN_VALUE / 2;
+    private long lastDeadlineCheckMillis = Long.MIN_VALUE / 2;
+    private boolean mayHoldPledges;
 
-    SliceOwner(SliceId slice, Scene scene) {
+    SliceOwner(SliceId slice, SchedulerContext context) {
         this.slice = slice;
-        this.scene = scene;
-        this.book = new PledgeBook(slice, scene.views(), ShareRule.REST_TO_MAJORITY);
-        this.targets = new SliceTargets(slice, scene, book);
+        this.context = context;
+        this.pledges = new HeldPledges(slice, context.views(), ShareRule.REST_TO_MAJORITY);
+        this.targets = new SliceTargets(slice, context, pledges);
         targets.update();
     }
 
@@ -66,111 +66,119 @@
         return targets;
     }
 
-    PledgeBook book() {
-        return book;
+    HeldPledges pledges() {
+        return pledges;
     }
 
-    Map<HomeId, Long> heardAtMillis() {
-        return heardAtMillis;
+    Map<ProcessId, Long> lastContactMillis() {
+        return lastContactMillis;
     }
 
-    void viewed(long nowMillis) {
+    void configurationChanged(long nowMillis) {
         targets.update();
-        decide(nowMillis);
+        schedule(nowMillis);
     }
 
-    /** Tells whether this process is to own the slice: first by the list, or the first that can be reached. */
-    boolean claims(long nowMillis) {
-        if (scene.isLeaving() || !scene.membership().slices().contains(slice)) {
+    /**
+     * Returns whether this process should own the slice: it is the first candidate by the list, or the first one that
+     * is reachable.
+     */
+    boolean shouldOwn(long nowMillis) {
+        if (context.isLeaving() || !context.membership().slices().contains(slice)) {
             return false;
         }
-        boolean asked = nowMillis - enqueuedAtMillis < HEARD_MILLIS
-                || book.share(nowMillis).pledged() > 0;
-        for (Host candidate : scene.membership().candidates(slice)) {
-            if (candidate.getName().equals(scene.self().host())) {
+        boolean isRequested = nowMillis - lastEnqueueMillis < RECENT_ENQUEUE_MILLIS
+                || pledges.share(nowMillis).pledged() > 0;
+        for (Host candidate : context.membership().candidates(slice)) {
+            if (candidate.getName().equals(context.self().host())) {
                 return true;
             }
-            if (!asked || scene.reachable().contains(candidate.getName())) {
+            if (!isRequested || context.reachable().contains(candidate.getName())) {
                 return false;
             }
         }
         return false;
     }
 
-    /** Tells whether pledges are to be asked for, also while grants are still out. */
-    boolean wantsPledges(long nowMillis) {
-        return claims(nowMillis) || holds && targets.hasUnused(nowMillis);
+    /** Returns whether pledges must be requested, which includes the time while grants may still be unused. */
+    boolean needsPledges(long nowMillis) {
+        return shouldOwn(nowMillis) || mayHoldPledges && targets.hasUnusedGrants(nowMillis);
     }
 
-    /** Tells whether nothing of the slice is left here. */
+    /**
+     * Returns whether nothing of the slice remains at this process: no claim, waiting request, pledge or request in
+     * flight.
+     */
     boolean isIdle(long nowMillis) {
-        return !claims(nowMillis)
+        return !shouldOwn(nowMillis)
                 && queue.size() == 0
-                && !holds
-                && targets.accounts().stream().allMatch(account -> account.taken() == 0);
+                && !mayHoldPledges
+                && targets.accounts().stream().allMatch(account -> account.inFlight() == 0);
     }
 
-    boolean hasHandedOver(long nowMillis) {
-        return queue.size() == 0 && !holds && !targets.hasUnused(nowMillis);
+    boolean isHandoverComplete(long nowMillis) {
+        return queue.size() == 0 && !mayHoldPledges && !targets.hasUnusedGrants(nowMillis);
     }
 
-    void pledged(String voter, Pledge pledge, int position, long nowMillis) {
+    void pledgeReceived(String voter, Pledge pledge, int position, long nowMillis) {
         long quietMillis = position < pledge.getQuietMillisCount() ? pledge.getQuietMillis(position) : 0;
-        book.pledged(voter, pledge.getEchoMillis(), pledge.getGoodMillis(), quietMillis, scene.timings(), nowMillis);
-        holds = true;
+        pledges.add(voter, pledge.getEchoMillis(), pledge.getGoodMillis(), quietMillis, context.timings(), nowMillis);
+        mayHoldPledges = true;
     }
 
-    void enqueue(HomeId home, Enqueue enqueue, long nowMillis) {
-        enqueuedAtMillis = nowMillis;
-        heardAtMillis.put(home, nowMillis);
+    void enqueue(ProcessId home, Enqueue enqueue, long nowMillis) {
+        lastEnqueueMillis = nowMillis;
+        lastContactMillis.put(home, nowMillis);
         targets.adopt(home, enqueue.getInFlightList(), nowMillis);
-        Waiting waiting = waiting(home, enqueue, nowMillis);
+        WaitingRequest waiting = newWaitingRequest(home, enqueue, nowMillis);
         targets.orphan(home, enqueue.getRequest(), nowMillis);
-        Optional<RefusalReason> refusal = refusalOf(waiting, nowMillis);
+        Optional<RefusalReason> refusal = checkAdmission(waiting, nowMillis);
         if (refusal.isPresent()) {
             refuse(waiting, refusal.get(), nowMillis);
         } else if (queue.add(waiting)) {
-            decide(nowMillis);
+            schedule(nowMillis);
         }
     }
 
-    void withdraw(HomeId home, long request) {
-        queue.remove(new Waiting.Key(home, request));
+    void withdraw(ProcessId home, long request) {
+        queue.remove(new WaitingRequest.Key(home, request));
     }
 
-    void finished(HomeId home, Finished finished, long nowMillis) {
-        heardAtMillis.put(home, nowMillis);
-        scene.count(Measure.FINISHED, finished.getKind());
+    void finished(ProcessId home, Finished finished, long nowMillis) {
+        lastContactMillis.put(home, nowMillis);
+        context.count(SchedulerCounter.FINISHED, finished.getKind());
         Optional<Slot> slot = targets.finish(home, finished, nowMillis);
         switch (finished.getKind()) {
-            case COMPLETED -> slot.map(Slot::waiting).ifPresent(waiting -> drain.completed(waiting.cost(), nowMillis));
-            case UNUSED -> slot.map(Slot::waiting).ifPresent(waiting -> scene.count(Measure.UNUSED, waiting.rank()));
+            case COMPLETED ->
+                slot.map(Slot::waiting).ifPresent(waiting -> drainRate.addCompleted(waiting.cost(), nowMillis));
+            case UNUSED ->
+                slot.map(Slot::waiting).ifPresent(waiting -> context.count(SchedulerCounter.UNUSED, waiting.rank()));
             default -> {
-                // What failed or was cancelled says nothing of how fast the slice drains.
+                // Failed or cancelled requests say nothing about the drain rate of the slice.
             }
         }
-        decide(nowMillis);
+        schedule(nowMillis);
     }
 
-    void lost(HomeId home, long nowMillis) {
-        heardAtMillis.remove(home);
-        queue.of(home).forEach(waiting -> queue.remove(waiting.key()));
+    void homeDisconnected(ProcessId home, long nowMillis) {
+        lastContactMillis.remove(home);
+        queue.waitingOf(home).forEach(waiting -> queue.remove(waiting.key()));
         targets.orphan(home, nowMillis);
-        decide(nowMillis);
+        schedule(nowMillis);
     }
 
-    /** Refuses what waits below a rank. */
+    /** Refuses the waiting requests below a rank. */
     void evictBelow(int rank, long nowMillis) {
-        for (Waiting waiting : queue.below(rank)) {
+        for (WaitingRequest waiting : queue.belowRank(rank)) {
             evict(waiting, RefusalReason.BELOW_FLOOR, nowMillis);
         }
     }
 
-    /** Does all that is due now. */
-    void decide(long nowMillis) {
-        targets.abandonOrphans(nowMillis);
+    /** Performs all work that is due: expires orphans, recalls, evicts, sheds and grants. */
+    void schedule(long nowMillis) {
+        targets.expireOrphans(nowMillis);
         targets.recallFromUnusable(nowMillis, this::recall);
-        if (!claims(nowMillis)) {
+        if (!shouldOwn(nowMillis)) {
             handOver(nowMillis);
             return;
         }
@@ -178,21 +186,21 @@
             evictAll(RefusalReason.NO_TARGET, nowMillis);
             return;
         }
-        if (nowMillis - hopelessAtMillis >= HOPELESS_MILLIS) {
-            hopelessAtMillis = nowMillis;
-            evictHopeless(nowMillis);
+        if (nowMillis - lastDeadlineCheckMillis >= DEADLINE_CHECK_INTERVAL_MILLIS) {
+            lastDeadlineCheckMillis = nowMillis;
+            evictUnmeetableDeadlines(nowMillis);
         }
-        trim(nowMillis);
+        shedExcess(nowMillis);
         grant(nowMillis);
     }
 
-    /** Predicts how long a fresh request of a tier waits. */
-    long waitMillis(int rank, long nowMillis) {
-        return (long) drain.predictMillis(queue.costAhead(rank), nowMillis);
+    /** Predicts the wait of a new request of a tier. */
+    long estimatedWaitMillis(int rank, long nowMillis) {
+        return (long) drainRate.predictMillis(queue.costAhead(rank), nowMillis);
     }
 
-    private Waiting waiting(HomeId home, Enqueue enqueue, long nowMillis) {
-        return new Waiting(
+    private WaitingRequest newWaitingRequest(ProcessId home, Enqueue enqueue, long nowMillis) {
+        return new WaitingRequest(
                 home,
                 enqueue.getRequest(),
                 enqueue.getTierRank(),
@@ -206,94 +214,96 @@
                 nowMillis);
     }
 
-    private Optional<RefusalReason> refusalOf(Waiting waiting, long nowMillis) {
-        if (scene.isLeaving()) {
+    private Optional<RefusalReason> checkAdmission(WaitingRequest waiting, long nowMillis) {
+        if (context.isLeaving()) {
             return Optional.of(RefusalReason.OWNER_LEAVING);
         }
-        if (!claims(nowMillis)) {
+        if (!shouldOwn(nowMillis)) {
             return Optional.of(RefusalReason.NOT_OWNER);
         }
         if (targets.usableCount() == 0) {
             return Optional.of(RefusalReason.NO_TARGET);
         }
-        if (waiting.rank() < scene.floors().rank(slice.getService(), nowMillis)) {
+        if (waiting.rank() < context.floors().effectiveRank(slice.getService(), nowMillis)) {
             return Optional.of(RefusalReason.BELOW_FLOOR);
         }
-        // The prediction may be wrong, and a lower request that waits here would then get the place of this one. It
-        // is given up only when its deadline cannot be met even if it were next.
-        double waitMillis = queue.hasBelow(waiting.rank())
+        // The predicted wait may be wrong, and a lower request in the queue would then be served instead of this one.
+        // So while a lower tier waits, the request is refused only if it would miss its deadline without any wait.
+        double waitMillis = queue.hasBelowRank(waiting.rank())
                 ? 0
-                : OPTIMISM * drain.predictMillis(queue.costBefore(waiting), nowMillis);
-        return isHopeless(waiting, waitMillis, nowMillis) ? Optional.of(RefusalReason.HOPELESS) : Optional.empty();
+                : WAIT_DISCOUNT * drainRate.predictMillis(queue.costBefore(waiting), nowMillis);
+        return cannotMeetDeadline(waiting, waitMillis, nowMillis)
+                ? Optional.of(RefusalReason.HOPELESS)
+                : Optional.empty();
     }
 
-    private boolean isHopeless(Waiting waiting, double waitMillis, long nowMillis) {
-        double leftMillis = waiting.deadlineMillis() - nowMillis;
-        return leftMillis <= 0 || leftMillis < waitMillis + targets.bestMillis(waiting, nowMillis);
+    private boolean cannotMeetDeadline(WaitingRequest waiting, double waitMillis, long nowMillis) {
+        double remainingMillis = waiting.deadlineMillis() - nowMillis;
+        return remainingMillis <= 0 || remainingMillis < waitMillis + targets.minPredictedMillis(waiting, nowMillis);
     }
 
-    private void evictHopeless(long nowMillis) {
-        for (Waiting waiting : queue.all()) {
-            if (isHopeless(waiting, 0, nowMillis)) {
+    private void evictUnmeetableDeadlines(long nowMillis) {
+        for (WaitingRequest waiting : queue.all()) {
+            if (cannotMeetDeadline(waiting, 0, nowMillis)) {
                 evict(waiting, RefusalReason.HOPELESS, nowMillis);
             }
         }
     }
 
     private void evictAll(RefusalReason reason, long nowMillis) {
-        for (Waiting waiting : queue.all()) {
+        for (WaitingRequest waiting : queue.all()) {
             evict(waiting, reason, nowMillis);
         }
     }
 
-    private void evict(Waiting waiting, RefusalReason reason, long nowMillis) {
+    private void evict(WaitingRequest waiting, RefusalReason reason, long nowMillis) {
         queue.remove(waiting.key());
         refuse(waiting, reason, nowMillis);
     }
 
     private void handOver(long nowMillis) {
-        evictAll(scene.isLeaving() ? RefusalReason.OWNER_LEAVING : RefusalReason.NOT_OWNER, nowMillis);
+        evictAll(context.isLeaving() ? RefusalReason.OWNER_LEAVING : RefusalReason.NOT_OWNER, nowMillis);
         targets.recallAll(nowMillis, this::recall);
-        if (holds && !targets.hasUnused(nowMillis)) {
-            holds = false;
-            book.clear();
-            scene.release(slice, nowMillis);
+        if (mayHoldPledges && !targets.hasUnusedGrants(nowMillis)) {
+            mayHoldPledges = false;
+            pledges.clear();
+            context.release(slice, nowMillis);
         }
     }
 
-    // A full queue sheds the lowest tier first. Only the lowest tier of the document may be shed without asking:
-    // anything
-    // else might be kept out by a lower request that waits at another owner.
-    private void trim(long nowMillis) {
-        int bound = scene.service(slice.getService()).getMaxWaiting();
-        while (queue.size() > bound) {
-            Waiting victim = queue.victim().orElseThrow();
+    // A full queue sheds the lowest tier first. Only the lowest tier of the document may be shed without consulting
+    // other owners, because a request of another tier might be displaced by a lower request that waits at another
+    // owner.
+    private void shedExcess(long nowMillis) {
+        int maxWaiting = context.service(slice.getService()).getMaxWaiting();
+        while (queue.size() > maxWaiting) {
+            WaitingRequest victim = queue.victim().orElseThrow();
             if (!mayShed(victim, nowMillis)) {
-                scene.needFloor(slice.getService(), victim.rank(), nowMillis);
-                if (queue.size() <= HARD_BOUND_FACTOR * bound) {
+                context.raiseFloor(slice.getService(), victim.rank(), nowMillis);
+                if (queue.size() <= HARD_BOUND_FACTOR * maxWaiting) {
                     return;
                 }
-                scene.count(Measure.SHED_BEFORE_FLOOR, victim.rank());
+                context.count(SchedulerCounter.SHED_BEFORE_FLOOR, victim.rank());
             }
             evict(victim, RefusalReason.SHED, nowMillis);
         }
-        // A floor that fell whenever the queue is just not too long would rise again with the next request.
-        if (queue.size() > NEARLY_FULL * bound) {
-            scene.floors().keep(slice.getService(), nowMillis);
+        // If the floor were lowered as soon as the queue is just short enough, the next request would raise it again.
+        if (queue.size() > FLOOR_EXTENSION_RATIO * maxWaiting) {
+            context.floors().extend(slice.getService(), nowMillis);
         }
     }
 
-    private boolean mayShed(Waiting victim, long nowMillis) {
-        return victim.rank() <= scene.lowestRank()
-                || scene.floors()
-                        .mayShed(slice.getService(), victim.rank(), scene.reachable(), scene.timings(), nowMillis);
+    private boolean mayShed(WaitingRequest victim, long nowMillis) {
+        return victim.rank() <= context.lowestRank()
+                || context.floors()
+                        .mayShed(slice.getService(), victim.rank(), context.reachable(), context.timings(), nowMillis);
     }
 
     private void grant(long nowMillis) {
         if (queue.size() == 0) {
             return;
         }
-        List<Candidate> candidates = targets.withRoom(nowMillis);
+        List<Candidate> candidates = targets.candidates(nowMillis);
         boolean granted = true;
         while (granted && !candidates.isEmpty()) {
             granted = grantOne(candidates, nowMillis);
@@ -301,32 +311,32 @@
     }
 
     private boolean grantOne(List<Candidate> candidates, long nowMillis) {
-        Optional<Waiting> next = queue.next(waiting -> waiting.deadlineMillis() > nowMillis
+        Optional<WaitingRequest> next = queue.next(waiting -> waiting.deadlineMillis() > nowMillis
                 && candidates.stream().anyMatch(candidate -> candidate.account().serves(waiting.model())));
         if (next.isEmpty()) {
             return false;
         }
-        Waiting waiting = next.get();
-        List<Candidate> fitting = candidates.stream()
+        WaitingRequest waiting = next.get();
+        List<Candidate> serving = candidates.stream()
                 .filter(candidate -> candidate.account().serves(waiting.model()))
                 .toList();
-        Candidate chosen = scene.placement().choose(fitting, waiting, scene.placementState());
-        grant(waiting, chosen, nowMillis);
-        candidates.remove(chosen);
-        if (chosen.room() > 1) {
-            candidates.add(chosen.less());
+        Candidate candidate = context.placement().choose(serving, waiting, context.placementState());
+        grant(waiting, candidate, nowMillis);
+        candidates.remove(candidate);
+        if (candidate.freeSlots() > 1) {
+            candidates.add(candidate.afterGrant());
         }
         return true;
     }
 
-    private void grant(Waiting waiting, Candidate chosen, long nowMillis) {
-        TargetAccount account = chosen.account();
-        Host host = scene.membership().host(account.name()).orElseThrow();
-        long grant = scene.newGrant();
-        queue.granted(waiting);
-        account.grant(waiting, grant, chosen.room() <= 1, scene.timings(), nowMillis);
-        scene.count(Measure.GRANTED, waiting.rank());
-        scene.toEntry(
+    private void grant(WaitingRequest waiting, Candidate candidate, long nowMillis) {
+        TargetAccount account = candidate.account();
+        Host host = context.membership().host(account.name()).orElseThrow();
+        long grant = context.nextGrantId();
+        queue.removeGranted(waiting);
+        account.grant(waiting, grant, candidate.freeSlots() <= 1, context.timings(), nowMillis);
+        context.count(SchedulerCounter.GRANTED, waiting.rank());
+        context.sendToEntry(
                 waiting.home(),
                 Frame.newBuilder()
                         .setGrant(Grant.newBuilder()
@@ -336,16 +346,17 @@
                                 .setTarget(account.name())
                                 .setAddress(host.getAddress())
                                 .setPort(host.getTarget().getPort())
-                                .setEchoMillis(scene.clock(waiting.home()))
-                                .setGoodMillis(scene.timings().grantMillis())
-                                .setExpectedPrefillTokens(
-                                        account.prefixes().missingTokens(waiting.prefixes(), waiting.promptTokens()))));
+                                .setEchoMillis(context.clock(waiting.home()))
+                                .setGoodMillis(context.timings().grantMillis())
+                                .setExpectedPrefillTokens(account.prefixes()
+                                        .uncachedTokens(waiting.prefixes(), waiting.promptTokens()))));
     }
 
     private void recall(Slot slot) {
-        scene.count(
-                Measure.RECALLED, slot.waiting() == null ? 0 : slot.waiting().rank());
-        scene.toEntry(
+        context.count(
+                SchedulerCounter.RECALLED,
+                slot.waiting() == null ? 0 : slot.waiting().rank());
+        context.sendToEntry(
                 slot.home(),
                 Frame.newBuilder()
                         .setRecall(Recall.newBuilder()
@@ -354,28 +365,28 @@
                                 .setRequest(slot.request())));
     }
 
-    private void refuse(Waiting waiting, RefusalReason reason, long nowMillis) {
-        scene.count(Measure.REFUSED, reason);
-        scene.toEntry(
+    private void refuse(WaitingRequest waiting, RefusalReason reason, long nowMillis) {
+        context.count(SchedulerCounter.REFUSED, reason);
+        context.sendToEntry(
                 waiting.home(),
                 Frame.newBuilder()
                         .setRefusal(Refusal.newBuilder()
                                 .setSlice(slice)
                                 .setRequest(waiting.request())
                                 .setReason(reason)
-                                .setComeBackMillis(comeBackMillis(waiting, reason, nowMillis))));
+                                .setComeBackMillis(retryAfterMillis(waiting, reason, nowMillis))));
     }
 
-    private long comeBackMillis(Waiting waiting, RefusalReason reason, long nowMillis) {
+    private long retryAfterMillis(WaitingRequest waiting, RefusalReason reason, long nowMillis) {
         if (reason == RefusalReason.NOT_OWNER || reason == RefusalReason.OWNER_LEAVING) {
             return 0;
         }
-        long drainMillis = waitMillis(waiting.rank(), nowMillis);
-        long comeBackMillis = drainMillis == 0 ? DEFAULT_COME_BACK_MILLIS : drainMillis;
-        return Math.min(LONGEST_COME_BACK_MILLIS, Math.max(SHORTEST_COME_BACK_MILLIS, comeBackMillis));
+        long drainMillis = estimatedWaitMillis(waiting.rank(), nowMillis);
+        long retryAfterMillis = drainMillis == 0 ? DEFAULT_RETRY_AFTER_MILLIS : drainMillis;
+        return Math.min(MAX_RETRY_AFTER_MILLIS, Math.max(MIN_RETRY_AFTER_MILLIS, retryAfterMillis));
     }
 
-    List<String> ownTargets() {
+    List<String> targetNames() {
         List<String> names = new ArrayList<>();
         targets.accounts().forEach(account -> names.add(account.name()));
         return names;
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ConcurrencyLimit.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/ConcurrencyLimit.java
@@ -3,65 +3,65 @@
 import org.whinwharf.wire.schema.Limits;
 
 /**
- * Learned number of requests that one target bears at once.
+ * Learned limit on the number of requests that one target runs concurrently.
  *
- * <p>Grows by completions, not by time: an engine that has just started gains nothing from waiting, only from work done
- * well. Shrinks when service time exceeds the best seen, when the target refuses, and falls to the cold value when the
- * target seems to have started anew.
+ * <p>The limit grows with completed requests, not with time, because an engine that has just started warms up only by
+ * the requests that it completes. The limit decreases when the service time exceeds the best observed value and when
+ * the target refuses a request. It returns to the cold value when the target seems to have restarted.
  */
 public final class ConcurrencyLimit {
-    private static final double SMOOTHING = 0.3;
-    private static final double STEP_BACK = 0.75;
-    private static final double HALF = 0.5;
-    private static final double BEST_AGEING = 1.002;
-    private static final double COLD_STEP = 2.0;
-    private static final int COLD_SAMPLES = 2;
-    private static final int BASE_WORK = 4;
-    private static final double PREFILL_WORK = 1.0 / 16;
+    private static final double SMOOTHING_FACTOR = 0.3;
+    private static final double DECREASE_FACTOR = 0.75;
+    private static final double REFUSAL_FACTOR = 0.5;
+    private static final double BASELINE_GROWTH_FACTOR = 1.002;
+    private static final double COLD_SLOWDOWN_FACTOR = 2.0;
+    private static final int COLD_RESET_SAMPLES = 2;
+    private static final int BASE_WORK_UNITS = 4;
+    private static final double WORK_UNITS_PER_PREFILL_TOKEN = 1.0 / 16;
 
     private Limits limits;
     private int value;
-    private int slowStartUntil;
-    private int credit;
-    private int sinceStepBack;
-    private int suddenlySlow;
-    private double smoothedMillis;
-    private double bestMillis;
+    private int slowStartThreshold;
+    private int fullSamples;
+    private int samplesSinceDecrease;
+    private int consecutiveSlowSamples;
+    private double smoothedUnitMillis;
+    private double baselineUnitMillis;
 
     /**
-     * Creates the limit of a target that is taken to be cold.
+     * Creates the limit of a target that is assumed to be cold.
      *
-     * @param limits bounds of the document, absent values filled in
+     * @param limits bounds from the document, with default values filled in
      */
     public ConcurrencyLimit(Limits limits) {
         this.limits = limits;
-        cold();
+        resetToCold();
     }
 
     /**
-     * Takes in other bounds; what was learned stays, as far as the bounds allow it.
+     * Applies new bounds and keeps the learned limit as far as they allow it.
      *
-     * @param newLimits bounds of the document, absent values filled in
+     * @param newLimits bounds from the document, with default values filled in
      */
-    public void bounds(Limits newLimits) {
+    public void updateBounds(Limits newLimits) {
         if (!newLimits.equals(limits)) {
             limits = newLimits;
             value = Math.min(value, limits.getMost());
-            slowStartUntil = Math.max(value, Math.min(slowStartUntil, limits.getMost()));
+            slowStartThreshold = Math.max(value, Math.min(slowStartThreshold, limits.getMost()));
         }
     }
 
     /**
      * Returns the limit.
      *
-     * @return requests in flight that the target bears
+     * @return maximum number of requests in flight
      */
     public int value() {
         return value;
     }
 
     /**
-     * Tells whether the target is still treated as just started.
+     * Returns whether the target is still treated as just started.
      *
      * @return true while the limit is at its cold value
      */
@@ -70,111 +70,120 @@
     }
 
     /**
-     * Tells whether the limit is still in its fast growth after a start.
+     * Returns whether the limit still grows with every sample taken at the limit, as after a start of the target.
      *
-     * @return true until the first step back, or until the bound is reached
+     * @return true until the first decrease, or until the limit reaches its upper bound
      */
-    public boolean isLearning() {
-        return value < slowStartUntil;
+    public boolean isInSlowStart() {
+        return value < slowStartThreshold;
     }
 
-    /** Falls back to the cold value and forgets how fast the target was. */
-    public void cold() {
+    /** Resets the limit to the cold value and discards the observed service times. */
+    public void resetToCold() {
         value = Math.min(limits.getCold(), limits.getMost());
-        slowStartUntil = limits.getMost();
-        credit = 0;
-        sinceStepBack = 0;
-        suddenlySlow = 0;
-        smoothedMillis = 0;
-        bestMillis = 0;
+        slowStartThreshold = limits.getMost();
+        fullSamples = 0;
+        samplesSinceDecrease = 0;
+        consecutiveSlowSamples = 0;
+        smoothedUnitMillis = 0;
+        baselineUnitMillis = 0;
     }
 
     /** Halves the limit after the target refused a request. */
-    public void refused() {
-        shrink(HALF);
+    public void onRefused() {
+        shrink(REFUSAL_FACTOR);
     }
 
     /**
-     * Learns that requests wait inside the target, where nobody can put them in order: it runs fewer at once than the
-     * limit allows. Long answers hide such a wait in their own length, so that service time alone shows it late.
+     * Lowers the limit to the number of running requests while further requests are queued inside the target.
      *
-     * @param running requests that the target ran while others waited there
+     * <p>A queue inside the target is not ordered by tier. Service time alone reveals it late, because the queueing
+     * time is small beside the duration of long answers.
+     *
+     * @param running requests that the target ran while others were queued there
      */
-    public void queued(int running) {
-        int bears = Math.max(Math.min(limits.getCold(), limits.getMost()), running);
-        if (value > bears) {
-            value = bears;
-            slowStartUntil = value;
-            credit = 0;
-            sinceStepBack = 0;
+    public void onQueued(int running) {
+        int newValue = Math.max(Math.min(limits.getCold(), limits.getMost()), running);
+        if (value > newValue) {
+            value = newValue;
+            slowStartThreshold = value;
+            fullSamples = 0;
+            samplesSinceDecrease = 0;
         }
     }
 
     /**
      * Learns from a completed request.
      *
-     * @param sample what it took
-     * @param wasFull true when the limit was nearly used up while it ran, so that the sample says something about
-     *     growth
+     * @param sample measured times and token counts
+     * @param limitReached true when the grant of the request used the last free slot, so that the sample shows whether
+     *     the limit can grow
      */
-    public void completed(Sample sample, boolean wasFull) {
+    public void onCompleted(CompletionSample sample, boolean limitReached) {
         double unitMillis = unitMillis(sample);
-        if (isSuddenlySlow(unitMillis)) {
-            suddenlySlow++;
-            if (suddenlySlow >= COLD_SAMPLES) {
-                cold();
+        if (isSuddenlySlower(unitMillis)) {
+            consecutiveSlowSamples++;
+            if (consecutiveSlowSamples >= COLD_RESET_SAMPLES) {
+                resetToCold();
             }
             return;
         }
-        suddenlySlow = 0;
+        consecutiveSlowSamples = 0;
         smooth(unitMillis);
-        sinceStepBack++;
-        if (smoothedMillis > limits.getSlowFactor() * bestMillis) {
-            stepBack();
-        } else if (wasFull) {
-            grow();
+        samplesSinceDecrease++;
+        if (smoothedUnitMillis > limits.getSlowFactor() * baselineUnitMillis) {
+            decreaseOnce();
+        } else if (limitReached) {
+            increase();
         }
     }
 
-    private static double unitMillis(Sample sample) {
-        double work = BASE_WORK + sample.answerTokens() + sample.prefillTokens() * PREFILL_WORK;
-        return Math.max(1, sample.totalMillis()) / work;
+    private static double unitMillis(CompletionSample sample) {
+        double workUnits =
+                BASE_WORK_UNITS + sample.answerTokens() + sample.prefillTokens() * WORK_UNITS_PER_PREFILL_TOKEN;
+        return Math.max(1, sample.totalMillis()) / workUnits;
     }
 
-    private boolean isSuddenlySlow(double unitMillis) {
+    private boolean isSuddenlySlower(double unitMillis) {
         return value > limits.getCold()
-                && smoothedMillis > 0
-                && unitMillis > COLD_STEP * limits.getSlowFactor() * smoothedMillis;
+                && smoothedUnitMillis > 0
+                && unitMillis > COLD_SLOWDOWN_FACTOR * limits.getSlowFactor() * smoothedUnitMillis;
     }
 
     private void smooth(double unitMillis) {
-        smoothedMillis = smoothedMillis == 0 ? unitMillis : smoothedMillis + SMOOTHING * (unitMillis - smoothedMillis);
-        // The best ages, since a target that became slower for good would otherwise be held down for ever.
-        bestMillis = bestMillis == 0 ? smoothedMillis : Math.min(bestMillis * BEST_AGEING, smoothedMillis);
+        smoothedUnitMillis = smoothedUnitMillis == 0
+                ? unitMillis
+                : smoothedUnitMillis + SMOOTHING_FACTOR * (unitMillis - smoothedUnitMillis);
+        // The baseline rises slowly, since a target that became permanently slower would otherwise keep a low limit
+        // for ever.
+        baselineUnitMillis = baselineUnitMillis == 0
+                ? smoothedUnitMillis
+                : Math.min(baselineUnitMillis * BASELINE_GROWTH_FACTOR, smoothedUnitMillis);
     }
 
-    private void stepBack() {
-        // What completes now was admitted before the last step back took effect; it says nothing about the new limit.
-        if (sinceStepBack > value) {
-            shrink(STEP_BACK);
+    private void decreaseOnce() {
+        // Requests that complete now were admitted before the last decrease took effect, so they say nothing about
+        // the new limit.
+        if (samplesSinceDecrease > value) {
+            shrink(DECREASE_FACTOR);
         }
     }
 
     private void shrink(double factor) {
         value = Math.max(Math.min(limits.getCold(), limits.getMost()), (int) (value * factor));
-        slowStartUntil = value;
-        credit = 0;
-        sinceStepBack = 0;
+        slowStartThreshold = value;
+        fullSamples = 0;
+        samplesSinceDecrease = 0;
     }
 
-    private void grow() {
+    private void increase() {
         if (value >= limits.getMost()) {
             return;
         }
-        credit++;
-        if (value < slowStartUntil || credit >= value) {
+        fullSamples++;
+        if (value < slowStartThreshold || fullSamples >= value) {
             value++;
-            credit = 0;
+            fullSamples = 0;
         }
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/limit/Slot.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/limit/Slot.java
@@ -1,37 +1,42 @@
 package org.whinwharf.owner.limit;
 
-import org.whinwharf.owner.HomeId;
-import org.whinwharf.owner.queue.Waiting;
+import org.whinwharf.owner.ProcessId;
+import org.whinwharf.owner.queue.WaitingRequest;
 
-/** One request that is, or may come to be, in flight at a target. Confined to the account that made it. */
+/**
+ * A slot of a target's limit, taken by one granted request.
+ *
+ * <p>The request is in flight, or may still be sent under its grant. A slot is confined to the {@link TargetAccount}
+ * that created it.
+ */
 public final class Slot {
-    static final long NEVER = Long.MAX_VALUE;
+    static final long NO_EXPIRY = Long.MAX_VALUE;
 
-    private final HomeId home;
+    private final ProcessId home;
     private final long request;
     private final long grant;
     private final long grantedAtMillis;
-    private final long surelySentAtMillis;
-    private final Waiting waiting;
-    private final boolean full;
+    private final long latestArrivalMillis;
+    private final WaitingRequest waiting;
+    private final boolean limitReached;
     private boolean recalled;
-    private long orphanUntilMillis = NEVER;
+    private long orphanExpiryMillis = NO_EXPIRY;
 
     Slot(
-            HomeId home,
+            ProcessId home,
             long request,
             long grant,
             long grantedAtMillis,
-            long surelySentAtMillis,
-            Waiting waiting,
-            boolean full) {
+            long latestArrivalMillis,
+            WaitingRequest waiting,
+            boolean limitReached) {
         this.home = home;
         this.request = request;
         this.grant = grant;
         this.grantedAtMillis = grantedAtMillis;
-        this.surelySentAtMillis = surelySentAtMillis;
+        this.latestArrivalMillis = latestArrivalMillis;
         this.waiting = waiting;
-        this.full = full;
+        this.limitReached = limitReached;
     }
 
     /**
@@ -39,12 +44,12 @@
      *
      * @return home
      */
-    public HomeId home() {
+    public ProcessId home() {
         return home;
     }
 
     /**
-     * Returns the request's id at its home.
+     * Returns the id of the request at its home.
      *
      * @return id
      */
@@ -53,7 +58,7 @@
     }
 
     /**
-     * Returns the grant's id.
+     * Returns the id of the grant.
      *
      * @return id; 0 for a request that an earlier owner granted
      */
@@ -62,21 +67,21 @@
     }
 
     /**
-     * Returns what was granted.
+     * Returns the request as it was queued.
      *
-     * @return the request as it waited; null for a request that an earlier owner granted
+     * @return queued request; null for a request that an earlier owner granted
      */
-    public Waiting waiting() {
+    public WaitingRequest waiting() {
         return waiting;
     }
 
     /**
-     * Tells whether the limit was used up when this was granted.
+     * Returns whether the grant used the last free slot of the limit.
      *
-     * @return true when it was
+     * @return true when no slot was free after the grant
      */
-    public boolean full() {
-        return full;
+    public boolean limitReached() {
+        return limitReached;
     }
 
     boolean recalled() {
@@ -91,15 +96,15 @@
         return grantedAtMillis;
     }
 
-    long surelySentAtMillis() {
-        return surelySentAtMillis;
+    long latestArrivalMillis() {
+        return latestArrivalMillis;
     }
 
-    long orphanUntilMillis() {
-        return orphanUntilMillis;
+    long orphanExpiryMillis() {
+        return orphanExpiryMillis;
     }
 
-    void orphan(long untilMillis) {
-        orphanUntilMillis = Math.min(orphanUntilMillis, untilMillis);
+    void orphan(long expiryMillis) {
+        orphanExpiryMillis = Math.min(orphanExpiryMillis, expiryMillis);
     }
 }
--- a/org.whinwharf/src/main/java/org/whinwharf/owner/placement/PlacementState.java
+++ b/org.whinwharf/src/main/java/org/whinwharf/owner/placement/PlacementState.java
@@ -3,7 +3,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** What a {@link Placement} remembers between two choices. */
+/** State that a {@link PlacementStrategy} keeps between choices. */
 public final class PlacementState {
     private final UniformRandomProvider random;
     private long sequence;
@@ -11,13 +11,13 @@
     /**
      * Creates the state.
      *
-     * @param seed seed of the random choices
+     * @param seed seed of the random number generator
      */
     public PlacementState(long seed) {
         random = RandomSource.SPLIT_MIX_64.create(seed);
     }
 
-    int next(int bound) {
+    int nextInTurn(int bound) {
         return (int) (sequence++ % bound);
     }
 
