--- a/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItems.java
+++ b/org.whinwharf.front/src/main/java/org/whinwharf/front/PeerItems.java
@@ -86,7 +86,7 @@
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .childHandler(framedPipeline(RequestHandler::new))
+                .childHandler(framedPipeline(ItemsRequestHandler::new))
                 .bind(ip, port)
                 .syncUninterruptibly()
                 .channel();
@@ -230,7 +230,7 @@
         };
     }
 
-    private final class RequestHandler extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class ItemsRequestHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) throws Exception {
             ItemsRequest request = ItemsRequest.parseFrom(frame.nioBuffer());
--- a/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/HeartbeatPropagationTest.java
+++ b/org.whinwharf.traffic.test/src/test/java/org/whinwharf/traffic/HeartbeatPropagationTest.java
@@ -24,7 +24,7 @@
     private static final int PROCESSES = 90;
     private static final int FAN_OUT = 2;
     private static final long GOSSIP_INTERVAL_MILLIS = 300;
-    /** Datagram loss, as measured on disturbed links. */
+    /** Share of datagrams lost on a disturbed link. */
     private static final double DATAGRAM_LOSS_RATIO = 0.025;
 
     private final Random random = new Random(11);
